--- a/banklift/balance.py
+++ b/banklift/balance.py
@@ -1,4 +1,18 @@
-"""Every decision of banklift, one Balancer for each router: interface.py. Its design: docs/design.md."""
+"""The routing decisions of one router: which member serves a request, when it is held, retried or refused.
+
+A `Balancer` does no I/O: it takes events and returns actions (see `banklift.interface`), and it knows the time only
+from its caller. Its design is described in docs/design.md. It keeps five rules, which the code names by number:
+
+1. One final answer: every request gets exactly one, before its deadline.
+2. No effect twice: a request that may have run is repeated only where its class makes that harmless.
+3. Drains are kept: nothing new is sent to a member that drains.
+4. No cold member is overloaded: a member that started recently gets a limited share of the requests.
+5. No stale read: a read goes only to a member that is recent enough for its class.
+
+Units. Times and durations are seconds. Many limits scale with the latency that the classes aim for; their constants
+name that unit: `..._SHORTEST_AIMS` is in multiples of the shortest aim of all classes, `..._AIM_SHARE` is a fraction
+of the aim of the request's class, and `..._LATENCIES` is in multiples of the usual latency of the request's class.
+"""
 
 from __future__ import annotations
 
@@ -10,541 +24,943 @@
 from itertools import islice
 from random import Random
 
-from banklift import interface as io
+from banklift import interface
 from banklift.interface import Effect, Need, State, Status
-from banklift.reasons import why
-
-SILENCE = 6.0  # answers overdue at a member that has given none: a false alarm about once in e^6
-LATENCY_WEIGHT = 0.05  # of one answer in its class's usual latency, of one request in the part of writes
-FIRST_LATENCY = 0.25  # of the aim: usual latency of a class until it has answers
-FORGIVEN = 4.0  # shortest aims for which a member is set aside after a failure; honest ones are rare
-HONEST = 8.0  # good answers lately, over about that time, for which one failure counts for nothing
-LONG = 3.0  # times the least usual latency: reads above it are packed onto the first replicas
-LOOK = 0.3  # of the shortest aim: age from which a member is asked again before it is sent to
-CATCH_UP = 0.5  # seconds before one that is a second too far behind is asked again
-REPORT_AGE = 0.3  # seconds, or the shortest aim where longer: older positions in new reports stand still
-STEP = 0.125  # of the shortest aim: wait for a report, some milliseconds off, and between looks at held work
-PATIENCE = 3.0  # usual latencies before a safe attempt gets help elsewhere; one in twenty takes longer
-CROWDED = 0.2  # of the aim: expected latency up to which a member is not crowded
-LAST_CALL = 1.6  # usual latencies before the end of worth, at most 0.6 of the time left: later is late
-HOLD = 0.45  # of a request's time: held that long and sent nowhere, its client is better told to come back
-TARGET = 0.5  # of the aim: work given to a crowded member, by the rate at which it answers this router
-PACE_TARGET = 0.75  # of the aim: the same by reported load, for the class with the best worth for its work
-TURN = 4  # held requests of a class that may be tried in vain for one fact: thousands may be held
-SWEEP = 64  # ... and for each regular look
-RATE_SPAN = 2.5  # shortest aims over which answer rates are smoothed
-FIRST_PACE = 12.0  # requests at a member that answers within the usual latency, until there are answers
-COLD_PART = 0.4  # of what the falling rule allows a cold member; the rest is for uneven load and retries
-SESSIONS = 10_000  # sessions remembered; those dropped count as having written at the last one dropped
-FEW = 8  # routers up to which each may ask a member before it sends: more of them would ask it all the time
-STRAINS = (Status.FULL, Status.TIMEOUT, Status.CANCELLED, Status.CONNECT_FAILED)  # which tell of no room
-SELDOM = 4.0  # ... lapses between looks of one of them
-WATCH_RETRY = 0.05  # of ask_within: first wait after a failed call to the list, doubled three times ...
-ASK_CAP = 10.0  # ... seconds of it that count: news counts as told 6 s after discovery is back in reach
+from banklift.reasons import refusal_reason
+
+# Health of members
+
+# Overdue answers from which a silent member counts as unresponsive; a false alarm about once in e^6.
+MAX_OVERDUE_ANSWERS = 6.0
+# Times the shortest aim: how long a failed member is avoided, and how long successes and measured pace are remembered.
+FAILURE_MEMORY_SHORTEST_AIMS = 4.0
+# Recent successful answers (older ones decay) from which a single failure is ignored.
+SUCCESSES_TO_IGNORE_FAILURE = 8.0
+# Times the shortest aim: how long a report or a refused connection is taken as current.
+REPORT_LIFETIME_SHORTEST_AIMS = 0.3
+# Factor on the lifetime of a report in a large fleet, so that all routers together do not probe a member constantly.
+LARGE_FLEET_REPORT_LIFETIME_FACTOR = 4.0
+# Seconds by which the next probe is delayed for each second that a member's position is too old.
+CATCH_UP_DELAY_PER_SECOND_BEHIND = 0.5
+# Seconds, or the shortest aim where that is longer: a position that is older in a new report has stopped advancing.
+STALLED_POSITION_AGE = 0.3
+# Times the shortest aim: how long to wait for a report (reports take some milliseconds), and the interval between two
+# checks of the held requests.
+TICK_SHORTEST_AIMS = 0.125
+# Usual latencies after which a safe attempt is moved away from an unhealthy member; one in twenty takes longer.
+OVERDUE_ATTEMPT_LATENCIES = 3.0
+# Statuses of an attempt that show that the member may be out of capacity.
+OVERLOAD_STATUSES = (Status.FULL, Status.TIMEOUT, Status.CANCELLED, Status.CONNECT_FAILED)
+
+# Measured latencies and rates
+
+# Weight of one sample in the moving averages: an answer in latencies and pace, a request in the primary-only share.
+SAMPLE_WEIGHT = 0.05
+# Fraction of the aim: usual latency of a class before its first answer.
+INITIAL_LATENCY_AIM_SHARE = 0.25
+# Requests at a member that answers within the usual latency, before the first answers.
+INITIAL_PACE_LOAD = 12.0
+# Times the shortest aim: time constant over which a member's answer rate is smoothed.
+ANSWER_RATE_SPAN_SHORTEST_AIMS = 2.5
+# Times the lowest usual latency of all classes: slower reads of class ANY count as long and go to the first replicas
+# by name, so that the other replicas stay free of them.
+LONG_READ_LATENCY_FACTOR = 3.0
+
+# Capacity of members
+
+# Fraction of the aim: a member with a lower expected latency is not crowded.
+UNCROWDED_AIM_SHARE = 0.2
+# Fraction of the aim: expected latency up to which a member gets more requests.
+LATENCY_TARGET_AIM_SHARE = 0.5
+# Fraction of the aim: the same by reported load for the class with the highest worth for its work.
+BEST_WORTH_TARGET_AIM_SHARE = 0.75
+# Fraction of what rule 4 allows a cold member; the rest is a margin for uneven load and retries.
+COLD_ADMISSION_SHARE = 0.4
+
+# Holding and retrying requests
+
+# Usual latencies before a request loses its worth after which it is not sent any more: its answer would be too late.
+SEND_CUTOFF_LATENCIES = 1.6
+# Upper limit of that margin, as a fraction of the time that the request has.
+MAX_SEND_CUTOFF_SHARE = 0.6
+# Fraction of the time to the deadline for which a request that reached no member is held; after that its client does
+# better to retry later.
+MAX_HOLD_DEADLINE_SHARE = 0.45
+# Held requests of a class that are retried in vain for one event, of thousands that may be held.
+MAX_MISSES_PER_EVENT = 4
+# Held requests of a class that are retried in vain at one periodic check.
+MAX_MISSES_PER_TICK = 64
+
+# Sizes
+
+# Sessions whose last write is remembered; a dropped one counts as having written at the newest write of those dropped.
+MAX_SESSIONS = 10_000
+# Routers up to which each may probe a member before it sends; more routers would probe it all the time.
+SMALL_FLEET_ROUTERS = 8
+
+# Watch of the member list
+
+# Fraction of the allowed `ask_within`: wait after a first failed call to the list; it doubles three times.
+WATCH_RETRY_SHARE = 0.05
+# Seconds of `ask_within` that count: a router is expected to know a change of the list 6 s after discovery is
+# reachable again.
+MAX_ASK_WITHIN = 10.0
 
 
 @dataclass(slots=True, eq=False)
 class Member:
+    """What this router knows of one member. Times are clock times, -inf where the event has not happened."""
+
     name: str
     group: Group
     state: State = State.READY
-    started: float | None = None
-    role_at: float = -math.inf  # when the newest fact on its role was true
-    position: float = -math.inf  # proven; it only rises
-    alive: float = -math.inf  # last answer
+    started: float | None = None  # None: long ago
+    role_known_at: float = -math.inf  # time at which the newest fact on its role was true
+    position: float = -math.inf  # proven replication position; it only rises
+    last_answer_at: float = -math.inf
     seen: float = -math.inf  # last answer or report
-    reported: float = -math.inf  # last report
-    load: float = 0.0  # requests there, by its last report and by what was sent and answered since
-    behind: float = 0.0  # how far when last seen, as long as that is more than the age of a report
-    refused: float = -math.inf  # last attempt that found no connection, with no answer since
-    failed: float = -math.inf  # last failed attempt that counts
-    good: float = 0.0  # good answers since the last failure, older ones fading
-    rate: float = 0.0  # work answered a second, as usual latency, as of ...
-    rated: float = 0.0
+    reported: float = -math.inf
+    load: float = 0.0  # requests there: as last reported, plus those sent and minus those answered since
+    # seconds behind when last heard; 0 where that is no more than the usual age of a report
+    replication_lag: float = 0.0
+    connect_failed_at: float = -math.inf  # last failed connect, reset by an answer
+    failed_at: float = -math.inf  # last failed attempt that counts against the member
+    recent_successes: float = 0.0  # successful answers since the last failure, older ones decay
+    rate: float = 0.0  # work answered a second, in seconds of usual latency, as of `answer_rate_at`
+    answer_rate_at: float = 0.0
     probed: float = -math.inf
-    # attempts out there: time sent, usual latency, load of the member then (0: not known)
+    # attempts in flight by request and attempt: time sent, usual latency, load of the member then (0: unknown)
     flying: dict[tuple[int, int], tuple[float, float, float]] = field(default_factory=dict)
-    work: float = 0.0  # of these, the usual latencies together ...
-    haste: float = 0.0  # ... and their inverses
-    strained: float = -math.inf  # when it was full or late, as long as nothing tells that it has room again
-    base: float = -math.inf  # from when on those out there are late: the last answer, or the first attempt
-    lag: float = 0.0  # of those sent after that, how much later, in usual latencies together
+    in_flight_work: float = 0.0  # sum of the usual latencies of the attempts in flight
+    expected_rate: float = 0.0  # answers a second expected of them: the sum of the inverse usual latencies
+    overloaded_at: float = (
+        -math.inf
+    )  # when it was last full or late; -inf once it is known to have room again
+    # Attempts in flight are late from here on: the last answer, or the first attempt if there was none.
+    lateness_base: float = -math.inf
+    # What attempts sent after `lateness_base` are less late, in usual latencies: their sum is
+    # (now - lateness_base) * expected_rate - lateness_offset, without a loop over the attempts.
+    lateness_offset: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
 class Group:
+    """One primary and its replicas, with the requests that wait for one of them."""
+
     members: list[Member] = field(default_factory=list)
-    primary: Member | None = None
-    lost: float = -math.inf  # when the last one was lost
-    crowned: float = -math.inf  # when the newest fact on who is primary was true
+    primary: Member | None = None  # None: unknown
+    primary_lost_at: float = -math.inf
+    primary_known_at: float = -math.inf  # time at which the newest fact on who is primary was true
+    # held requests by class name and request id, in the order in which they are retried
     held: dict[str, OrderedDict[int, Pending]] = field(default_factory=lambda: defaultdict(OrderedDict))
-    ends: list[tuple[float, int]] = field(default_factory=list)  # heap: last calls of what is or was held
-    tending: bool = False
+    hold_ends: list[tuple[float, int]] = field(default_factory=list)  # heap: end of holding, request id
+    check_scheduled: bool = False  # a timer for the next check of the held requests is set
 
 
 @dataclass(slots=True, eq=False)
 class Pending:
-    ask: io.Request
-    kind: io.RequestClass
+    """A request without a final answer."""
+
+    request: interface.Request
+    request_class: interface.RequestClass
     group: Group
-    floor: float  # position that a member must have; for a bounded read it moves with the clock
-    last_call: float  # clock time at which worth is out of reach
-    hold_end: float  # ... up to which it is held, as long as it was sent nowhere
-    luck: float  # drawn once for each request: a cold member takes it if it is warm to that share
-    order: list[Member]  # the draw: replicas in the order in which this request considers them
-    tried: list[Member] = field(default_factory=list)
-    flying: dict[int, Member] = field(default_factory=dict)
-    maybe_ran: float | None = None  # when the first attempt that may have run was sent
-    reached: bool = False  # an attempt found a connection
-    ending: bool = False  # its last call is among those of its group
+    min_position: float  # position that a member must have; for a bounded read it advances with the clock
+    send_cutoff: float  # clock time from which an answer would come too late to have any worth
+    hold_until: float  # clock time up to which it is held while no attempt has reached a member
+    admission_draw: float  # drawn once, in [0, 1): a cold member takes the request if its share is above this
+    member_order: list[Member]  # the members in the order in which this request considers them
+    tried: list[Member] = field(default_factory=list)  # member of each attempt so far
+    in_flight: dict[int, Member] = field(default_factory=dict)  # by attempt number
+    may_have_run_at: float | None = None  # when the first attempt that may have run was sent
+    reached_member: bool = False  # an attempt got a connection
+    in_hold_ends: bool = False  # it has an entry in `Group.hold_ends`
 
 
 class Balancer:
     """Decides for one router: `handle` takes what happened and returns what to do, in order."""
 
-    def __init__(self, settings: io.Settings, seed: int) -> None:
-        self.settings, self.random = settings, Random(seed)
-        self.kinds = {kind.name: kind for kind in settings.classes}
-        self.shortest = min(kind.aim for kind in settings.classes)
-        self.usual = {kind.name: FIRST_LATENCY * kind.aim for kind in settings.classes}
+    def __init__(self, settings: interface.Settings, seed: int) -> None:
+        """`seed` makes all random choices reproducible: the same events give the same actions."""
+        self.settings = settings
+        self.random = Random(seed)
+        self.classes = {request_class.name: request_class for request_class in settings.classes}
+        self.shortest_aim = min(request_class.aim for request_class in settings.classes)
+        self.usual = {
+            request_class.name: INITIAL_LATENCY_AIM_SHARE * request_class.aim
+            for request_class in settings.classes
+        }
         self.members: dict[str, Member] = {}
         self.groups: dict[int, Group] = {}
         self.requests: dict[int, Pending] = {}
-        self.sessions: dict[int, float] = {}
-        self.forgotten = -math.inf  # newest commit of the sessions dropped
+        self.sessions: dict[int, float] = {}  # position of each session's last write
+        self.dropped_sessions_position = -math.inf  # newest write of the sessions that were dropped
         self.timers: dict[int, Callable[[], None]] = {}
-        self.crowd, self.primaries = settings.balancers > FEW, 1.0  # part of requests for a primary alone
-        self.now, self.paced, self.tokens, self.watch_failures = 0.0, -math.inf, 0, 0
-        self.pace_load, self.pace_time = FIRST_PACE, FIRST_LATENCY * self.shortest
-        self.actions: list[io.Action] = []
-        self.handlers: dict[type, Callable[..., None]] = {io.Request: self.on_request}
-        self.handlers |= {io.Listing: self.on_listing, io.Probed: self.on_probed, io.Outcome: self.on_outcome}
-        self.handlers |= dict.fromkeys((io.Abandoned, io.StreamStarted), self.on_left)
-        self.handlers[io.Ending] = self.on_ending
-        self.handlers[io.Timer] = lambda event: self.timers.pop(event.token, lambda: None)()
-
-    def handle(self, now: float, event: io.Event) -> list[io.Action]:
-        self.now, self.actions = now, []
+        self.is_large_fleet = settings.balancers > SMALL_FLEET_ROUTERS
+        self.primary_only_share = 1.0  # fraction of the requests that only a primary may serve
+        self.now = 0.0
+        self.pace_measured_at = -math.inf
+        self.last_timer_token = 0
+        self.watch_failures = 0
+        # Pace of all members: a member with `pace_load` requests answers one within `pace_time` seconds.
+        self.pace_load = INITIAL_PACE_LOAD
+        self.pace_time = INITIAL_LATENCY_AIM_SHARE * self.shortest_aim
+        self.actions: list[interface.Action] = []
+        self.handlers: dict[type, Callable[..., None]] = {interface.Request: self.on_request}
+        self.handlers |= {
+            interface.Listing: self.on_listing,
+            interface.Probed: self.on_probed,
+            interface.Outcome: self.on_outcome,
+        }
+        self.handlers |= dict.fromkeys((interface.Abandoned, interface.StreamStarted), self.on_request_left)
+        self.handlers[interface.Ending] = self.on_ending
+        self.handlers[interface.Timer] = lambda event: self.timers.pop(event.token, lambda: None)()
+
+    def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
+        """Process one event at the clock time `now` and return the actions to take, in order."""
+        self.now = now
+        self.actions = []
         self.handlers[type(event)](event)
         return self.actions
 
-    def after(self, delay: float, callback: Callable[[], None]) -> None:
-        self.tokens += 1
-        self.timers[self.tokens] = callback
-        self.actions.append(io.SetTimer(max(0.0, delay), self.tokens))
-
-    def on_left(self, event: io.Abandoned | io.StreamStarted) -> None:
-        if event.request in self.requests:  # the client has gone, or owns the stream from here on
-            self.forget(self.requests[event.request], isinstance(event, io.Abandoned))
-
-    def on_ending(self, event: io.Ending) -> None:
-        for one in self.requests.values():
-            one.last_call, one.hold_end = min(one.last_call, event.by), min(one.hold_end, event.by)
-            if one.ending:
-                heappush(one.group.ends, (event.by, one.ask.id))
-
-    # ---- facts: the record is updated as they arrive, and an older one never undoes a newer one
-    def on_listing(self, listing: io.Listing) -> None:
-        if listing.kind is io.ListKind.FAILED:
-            wait = WATCH_RETRY * 2.0 ** min(3, self.watch_failures) * min(ASK_CAP, self.settings.ask_within)
+    def schedule(self, delay: float, callback: Callable[[], None]) -> None:
+        """Call `callback` after `delay` seconds, by a timer that the caller of `handle` runs."""
+        self.last_timer_token += 1
+        self.timers[self.last_timer_token] = callback
+        self.actions.append(interface.SetTimer(max(0.0, delay), self.last_timer_token))
+
+    def on_request_left(self, event: interface.Abandoned | interface.StreamStarted) -> None:
+        """Drop a request whose client has gone, or whose client owns the stream from here on.
+
+        Attempts of a request without a client are cancelled; a stream that has started goes on.
+        """
+        if event.request in self.requests:
+            self.remove_request(self.requests[event.request], isinstance(event, interface.Abandoned))
+
+    def on_ending(self, event: interface.Ending) -> None:
+        """Give every pending request its final answer by the end of this router, whatever its deadline."""
+        for pending in self.requests.values():
+            pending.send_cutoff = min(pending.send_cutoff, event.by)
+            pending.hold_until = min(pending.hold_until, event.by)
+            if pending.in_hold_ends:
+                heappush(pending.group.hold_ends, (event.by, pending.request.id))
+
+    # ---- facts about members: each carries the time at which it was true, so an older one never undoes a newer one
+    def on_listing(self, listing: interface.Listing) -> None:
+        """Take over the member list, or retry a failed call to it.
+
+        Retries wait for a growing time with jitter, so that the calls of all routers are spread after an outage of
+        discovery. A member that a complete list leaves out is gone.
+        """
+        if listing.kind is interface.ListKind.FAILED:
+            ask_within = min(MAX_ASK_WITHIN, self.settings.ask_within)
+            wait = WATCH_RETRY_SHARE * 2.0 ** min(3, self.watch_failures) * ask_within
             self.watch_failures += 1
-            return self.after(wait * self.random.uniform(0.5, 1.0), lambda: self.actions.append(io.Watch()))
-        if listing.kind is io.ListKind.CACHED and self.settings.must_ask:
-            self.actions.append(io.Watch())
+            return self.schedule(
+                wait * self.random.uniform(0.5, 1.0), lambda: self.actions.append(interface.Watch())
+            )
+        if listing.kind is interface.ListKind.CACHED and self.settings.must_ask:
+            self.actions.append(interface.Watch())
         self.watch_failures = 0
         for entry in listing.entries:
             self.on_entry(entry)
-        told = self.members if listing.kind is io.ListKind.CHANGES else {e.member for e in listing.entries}
-        for member in [member for name, member in self.members.items() if name not in told]:
+        is_partial = listing.kind is interface.ListKind.CHANGES
+        listed = self.members if is_partial else {entry.member for entry in listing.entries}
+        for member in [member for name, member in self.members.items() if name not in listed]:
             self.set_state(member, State.GONE)
 
-    def on_entry(self, entry: io.Entry) -> None:
-        group, member = self.groups.setdefault(entry.group, Group()), self.members.get(entry.member)
+    def on_entry(self, entry: interface.Entry) -> None:
+        """Add or update one member of the list.
+
+        A restart clears the member's failures, and the member's role as primary unless a newer fact confirms it,
+        because a restarted primary comes back as a replica. The list names the primary only while none is known.
+        """
+        group = self.groups.setdefault(entry.group, Group())
+        member = self.members.get(entry.member)
         if member is None:
             member = self.members[entry.member] = Member(entry.member, group, started=entry.started)
         elif entry.started is not None and entry.started != member.started:
-            member.started, member.refused, member.failed = entry.started, -math.inf, -math.inf
-            if group.primary is member and entry.started > group.crowned:
-                self.lose_primary(group)  # what restarts comes back as a replica
+            member.started = entry.started
+            member.connect_failed_at = -math.inf
+            member.failed_at = -math.inf
+            if group.primary is member and entry.started > group.primary_known_at:
+                self.clear_primary(group)
         self.set_state(member, entry.state)
         if entry.primary and group.primary is None:
-            self.crown(member, group.crowned)
+            self.record_primary(member, group.primary_known_at)
 
     def set_state(self, member: Member, state: State) -> None:
+        """Set what the list says of a member; a member that is gone is forgotten once it has no attempts in flight.
+
+        Where only draining binds, a ready member that vanishes from the list stays in use.
+        """
         if state is State.GONE and self.settings.only_draining_binds and member.state is State.READY:
             return
         if state is not State.READY and member.state is State.READY and member.group.primary is member:
-            self.lose_primary(member.group)
+            self.clear_primary(member.group)
         member.state = state
-        if state is State.GONE:  # kept only while attempts are out there
+        if state is State.GONE:
             member.group.members = [other for other in member.group.members if other is not member]
             if not member.flying:
                 self.members.pop(member.name, None)
         elif member not in member.group.members:
             member.group.members.append(member)
 
-    def on_probed(self, event: io.Probed) -> None:
+    def on_probed(self, event: interface.Probed) -> None:
+        """Record the answer to a probe, and retry requests that were held for what it tells."""
         if (member := self.members.get(event.member)) is not None:
             if event.ok:
-                member.seen, member.reported, member.refused = self.now, self.now, -math.inf
-            self.on_report(member, event.report or io.Report(), self.now - event.latency)
-            self.release(member.group, TURN, member)
-
-    def on_report(self, member: Member, report: io.Report, asked: float) -> None:
+                member.seen = self.now
+                member.reported = self.now
+                member.connect_failed_at = -math.inf
+            self.apply_report(member, event.report or interface.Report(), self.now - event.latency)
+            self.retry_held_requests(member.group, MAX_MISSES_PER_EVENT, member)
+
+    def apply_report(self, member: Member, report: interface.Report, asked: float) -> None:
+        """Record a member's load, position and role; `asked` is when the question or the request was sent."""
         loads = [load for load in (report.in_flight, report.queued) if load is not None]
-        member.load = sum(loads if self.crowd else loads[:1]) if loads else member.load
-        if loads and self.expected(member) <= TARGET * self.shortest:
-            member.strained = -math.inf
+        member.load = sum(loads if self.is_large_fleet else loads[:1]) if loads else member.load
+        if loads and self.expected_latency(member) <= LATENCY_TARGET_AIM_SHARE * self.shortest_aim:
+            member.overloaded_at = -math.inf
         if report.position is not None:
             member.position = max(member.position, report.position)
             lag = asked - member.position
-            member.behind = lag if lag > max(REPORT_AGE, self.shortest) else 0.0
-        at = report.position if report.at is None else report.at  # a position dates its report, unless told
-        if report.primary is not None and at is not None:
-            (self.crown if report.primary else self.demote)(member, at)
-
-    def crown(self, member: Member, at: float) -> None:
+            member.replication_lag = lag if lag > max(STALLED_POSITION_AGE, self.shortest_aim) else 0.0
+        role_at = (
+            report.position if report.at is None else report.at
+        )  # a position dates its report by default
+        if report.primary is not None and role_at is not None:
+            (self.record_primary if report.primary else self.record_replica)(member, role_at)
+
+    def record_primary(self, member: Member, at: float) -> None:
+        """Make a ready member its group's primary, if no newer fact on its role or on the primary is known."""
         group = member.group
-        if at < max(group.crowned, member.role_at) or member.state is not State.READY:
+        if at < max(group.primary_known_at, member.role_known_at) or member.state is not State.READY:
             return
-        member.role_at = group.crowned = at
+        member.role_known_at = group.primary_known_at = at
         if group.primary is not member:
             group.primary = member
-            self.actions.append(io.Log(f"primary learnt: {member.name}"))
+            self.actions.append(interface.Log(f"primary learnt: {member.name}"))
 
-    def demote(self, member: Member, at: float) -> None:
-        if at >= member.role_at:
-            member.role_at = at
+    def record_replica(self, member: Member, at: float) -> None:
+        """Record that a member was no primary at `at`, if no newer fact on its role is known."""
+        if at >= member.role_known_at:
+            member.role_known_at = at
             if member.group.primary is member:
-                self.lose_primary(member.group)
-
-    def lose_primary(self, group: Group) -> None:
-        group.primary, group.lost = None, self.now
-        self.actions.append(io.Log("primary lost"))
-        self.probe_all(group, 2 * STEP * self.shortest)
-
-    def probe_all(self, group: Group, lapse: float) -> None:
-        for member in () if self.crowd else group.members:  # a crowd would ask all of them at one instant
-            self.probe(member, lapse)
-
-    def probe(self, member: Member, lapse: float) -> None:
-        if self.settings.may_probe and member.state is State.READY and self.now - member.probed >= lapse:
+                self.clear_primary(member.group)
+
+    def clear_primary(self, group: Group) -> None:
+        """Forget the primary of a group and look for the new one."""
+        group.primary = None
+        group.primary_lost_at = self.now
+        self.actions.append(interface.Log("primary lost"))
+        self.probe_all(group, 2 * TICK_SHORTEST_AIMS * self.shortest_aim)
+
+    def probe_all(self, group: Group, min_interval: float) -> None:
+        """Probe all members of a group to find its primary.
+
+        Not in a large fleet, whose routers would all probe all members at the same instant.
+        """
+        for member in () if self.is_large_fleet else group.members:
+            self.probe(member, min_interval)
+
+    def probe(self, member: Member, min_interval: float) -> None:
+        """Probe a ready member unless it was probed within the last `min_interval` seconds."""
+        if (
+            self.settings.may_probe
+            and member.state is State.READY
+            and self.now - member.probed >= min_interval
+        ):
             member.probed = self.now
-            self.actions.append(io.Probe(member.name))
+            self.actions.append(interface.Probe(member.name))
 
-    def on_outcome(self, event: io.Outcome) -> None:
-        pending, member = self.requests.get(event.request), self.members.get(event.member)
+    def on_outcome(self, event: interface.Outcome) -> None:
+        """Record how an attempt ended, route its request again if that is still open, and retry held requests."""
+        pending = self.requests.get(event.request)
+        member = self.members.get(event.member)
         if member is None:
             return
-        sent = self.learn(member, event, pending)
-        if pending is not None and pending.flying.pop(event.attempt, None) is not None:
-            pending.reached |= event.status not in (Status.CONNECT_FAILED, Status.MOOT)
-            if event.status not in io.NEVER_RAN and pending.maybe_ran is None:
-                pending.maybe_ran = sent
+        sent_at = self.record_outcome(member, event, pending)
+        if pending is not None and pending.in_flight.pop(event.attempt, None) is not None:
+            pending.reached_member |= event.status not in (Status.CONNECT_FAILED, Status.MOOT)
+            if event.status not in interface.NEVER_RAN and pending.may_have_run_at is None:
+                pending.may_have_run_at = sent_at
             if event.finished:
-                self.forget(pending)
-            elif not pending.flying:
+                self.remove_request(pending)
+            elif not pending.in_flight:
                 self.route(pending)
         if member.state is State.GONE and not member.flying:
             self.members.pop(member.name, None)
-        self.release(member.group, TURN, member)
+        self.retry_held_requests(member.group, MAX_MISSES_PER_EVENT, member)
 
-    def learn(self, member: Member, event: io.Outcome, pending: Pending | None) -> float:
+    def record_outcome(self, member: Member, event: interface.Outcome, pending: Pending | None) -> float:
+        """Update what is known of a member and its class by the end of an attempt; return when that was sent.
+
+        Covers the sums over attempts in flight, health, load, role, position, measured latency and pace, and the
+        position of the session's last write.
+        """
         known = member.flying.pop((event.request, event.attempt), None)
-        sent, usual, load = known or (self.now - event.latency, math.inf, 1.0)
-        member.work, member.haste = member.work - (usual if known else 0.0), member.haste - 1 / usual
-        member.lag -= max(0.0, sent - member.base) / usual if known else 0.0
-        if not member.flying:
-            member.work = member.haste = member.lag = 0.0
+        sent_at, usual_latency, load = known or (self.now - event.latency, math.inf, 1.0)
+        member.in_flight_work -= usual_latency if known else 0.0
+        member.expected_rate -= 1 / usual_latency
+        member.lateness_offset -= max(0.0, sent_at - member.lateness_base) / usual_latency if known else 0.0
+        if not member.flying:  # rounding errors do not add up
+            member.in_flight_work = member.expected_rate = member.lateness_offset = 0.0
         status = event.status
         if status is Status.CONNECT_FAILED:
-            member.refused = self.now
-        elif status not in (Status.TIMEOUT, Status.CANCELLED, Status.MOOT):
-            member.good *= math.exp((member.alive - self.now) / (FORGIVEN * self.shortest))
-            member.alive, member.seen, member.refused = self.now, self.now, -math.inf
-            member.base, member.lag = self.now, 0.0
+            member.connect_failed_at = self.now
+        elif status not in (Status.TIMEOUT, Status.CANCELLED, Status.MOOT):  # the member answered
+            member.recent_successes *= math.exp(
+                (member.last_answer_at - self.now) / (FAILURE_MEMORY_SHORTEST_AIMS * self.shortest_aim)
+            )
+            member.last_answer_at = self.now
+            member.seen = self.now
+            member.connect_failed_at = -math.inf
+            member.lateness_base = self.now
+            member.lateness_offset = 0.0
         member.load = max(0.0, member.load - 1)
-        if pending is not None and (status in STRAINS or event.latency > pending.kind.aim):
-            member.strained = self.now
-        elif pending is not None and status is Status.OK and event.latency < TARGET * pending.kind.aim:
-            member.strained = -math.inf
-        if status is Status.ERROR:  # one now and then, among many good ones, tells nothing
-            member.failed, member.good = self.now if member.good < HONEST else member.failed, 0.0
-        member.good += status is Status.OK
+        if pending is not None and (status in OVERLOAD_STATUSES or event.latency > pending.request_class.aim):
+            member.overloaded_at = self.now
+        elif (
+            pending is not None
+            and status is Status.OK
+            and event.latency < LATENCY_TARGET_AIM_SHARE * pending.request_class.aim
+        ):
+            member.overloaded_at = -math.inf
+        if status is Status.ERROR:  # a single failure among many successes says nothing of the member
+            is_counted = member.recent_successes < SUCCESSES_TO_IGNORE_FAILURE
+            member.failed_at = self.now if is_counted else member.failed_at
+            member.recent_successes = 0.0
+        member.recent_successes += status is Status.OK
         if event.primary:
-            self.crown(member, sent)
-            member.position, member.behind = max(member.position, sent), 0.0  # it stands at the present
+            self.record_primary(member, sent_at)
+            member.position = max(member.position, sent_at)  # a primary has all commits
+            member.replication_lag = 0.0
         elif event.primary is False:
-            self.demote(member, self.now)
-        self.on_report(member, event.report or io.Report(), sent)
+            self.record_replica(member, self.now)
+        self.apply_report(member, event.report or interface.Report(), sent_at)
         if event.position is not None:
             member.position = max(member.position, event.position)
         if pending is not None and status is Status.OK:
-            kind, session = pending.kind, pending.ask.session
-            self.answered(member, self.usual[kind.name])
+            request_class = pending.request_class
+            session = pending.request.session
+            self.update_answer_rate(member, self.usual[request_class.name])
             if load > 0:
-                self.paced = self.now
-                self.pace_load += LATENCY_WEIGHT * (load - self.pace_load)
-                self.pace_time += LATENCY_WEIGHT * (event.latency - self.pace_time)
-            usual = self.usual[kind.name] + LATENCY_WEIGHT * (event.latency - self.usual[kind.name])
-            self.usual[kind.name] = max(usual, STEP * self.shortest)  # a hiccup of ours is no silence of its
-            if kind.need is Need.WRITE and session is not None and event.position is not None:
+                self.pace_measured_at = self.now
+                self.pace_load += SAMPLE_WEIGHT * (load - self.pace_load)
+                self.pace_time += SAMPLE_WEIGHT * (event.latency - self.pace_time)
+            previous_latency = self.usual[request_class.name]
+            usual_latency = previous_latency + SAMPLE_WEIGHT * (event.latency - previous_latency)
+            # the lower limit keeps a short pause of this router from looking like silence of a member
+            self.usual[request_class.name] = max(usual_latency, TICK_SHORTEST_AIMS * self.shortest_aim)
+            if request_class.need is Need.WRITE and session is not None and event.position is not None:
                 self.sessions[session] = max(event.position, self.sessions.pop(session, event.position))
-                if len(self.sessions) > SESSIONS:
-                    self.forgotten = max(self.forgotten, self.sessions.pop(next(iter(self.sessions))))
-        elif pending is not None and status is Status.MISS and pending.kind.need is not Need.WRITE:
-            member.behind = sent - self.floor(pending, sent)
-        return sent
-
-    # ---- the rule
-    def on_request(self, ask: io.Request) -> None:
-        kind, group = self.kinds.get(ask.kind), self.groups.setdefault(ask.group, Group())
-        if kind is None or ask.deadline <= self.now:
-            return self.actions.append(io.Refuse(ask.id))
-        if not self.settings.reports_load and self.now - self.paced >= FORGIVEN * self.shortest:
-            self.pace_load, self.pace_time = FIRST_PACE, FIRST_LATENCY * self.shortest  # the burst is over
-        self.primaries += LATENCY_WEIGHT * ((kind.need in (Need.WRITE, Need.FRESH)) - self.primaries)
-        floor = -math.inf
-        if kind.need is Need.SESSION and not self.settings.client_tokens:
-            floor = self.sessions.get(ask.session, self.forgotten) if ask.session is not None else self.now
-        elif kind.need is Need.SESSION and ask.since_write is not None:
-            floor = self.now + 0.001 - ask.since_write
-        aim = self.now + kind.aim + kind.aim_stretch * (ask.cost or 0.0)
-        end = ask.deadline if kind.late_worth > 0 else min(aim, ask.deadline)
-        last = end - min(LAST_CALL * self.usual[kind.name], 0.6 * (end - self.now))
-        draw = self.random.sample(group.members, len(group.members))
-        if self.long(kind):
-            draw.sort(key=lambda member: member.name)
-        held = min(last, self.now + HOLD * (ask.deadline - self.now))
-        new = self.requests[ask.id] = Pending(ask, kind, group, floor, last, held, self.random.random(), draw)
+                if len(self.sessions) > MAX_SESSIONS:
+                    self.dropped_sessions_position = max(
+                        self.dropped_sessions_position, self.sessions.pop(next(iter(self.sessions)))
+                    )
+        elif pending is not None and status is Status.MISS and pending.request_class.need is not Need.WRITE:
+            member.replication_lag = sent_at - self.required_position(pending, sent_at)
+        return sent_at
+
+    # ---- routing
+    def on_request(self, request: interface.Request) -> None:
+        """Take in a new request: set how recent its member must be and until when it may be sent, and route it.
+
+        A request of an unknown class, or past its deadline, is refused at once.
+        """
+        request_class = self.classes.get(request.kind)
+        group = self.groups.setdefault(request.group, Group())
+        if request_class is None or request.deadline <= self.now:
+            return self.actions.append(interface.Refuse(request.id))
+        pace_lifetime = FAILURE_MEMORY_SHORTEST_AIMS * self.shortest_aim
+        if not self.settings.reports_load and self.now - self.pace_measured_at >= pace_lifetime:
+            # A router that sends nothing measures nothing: without this a past burst would block it for ever.
+            self.pace_load = INITIAL_PACE_LOAD
+            self.pace_time = INITIAL_LATENCY_AIM_SHARE * self.shortest_aim
+        is_primary_only = request_class.need in (Need.WRITE, Need.FRESH)
+        self.primary_only_share += SAMPLE_WEIGHT * (is_primary_only - self.primary_only_share)
+        min_position = -math.inf
+        if request_class.need is Need.SESSION and not self.settings.client_tokens:
+            min_position = (
+                self.sessions.get(request.session, self.dropped_sessions_position)
+                if request.session is not None
+                else self.now
+            )
+        elif request_class.need is Need.SESSION and request.since_write is not None:
+            min_position = self.now + 0.001 - request.since_write
+        aim_end = self.now + request_class.aim + request_class.aim_stretch * (request.cost or 0.0)
+        worth_end = request.deadline if request_class.late_worth > 0 else min(aim_end, request.deadline)
+        send_cutoff = worth_end - min(
+            SEND_CUTOFF_LATENCIES * self.usual[request_class.name],
+            MAX_SEND_CUTOFF_SHARE * (worth_end - self.now),
+        )
+        member_order = self.random.sample(group.members, len(group.members))
+        if self.is_long_read(request_class):
+            member_order.sort(key=lambda member: member.name)
+        hold_until = min(send_cutoff, self.now + MAX_HOLD_DEADLINE_SHARE * (request.deadline - self.now))
+        pending = self.requests[request.id] = Pending(
+            request,
+            request_class,
+            group,
+            min_position,
+            send_cutoff,
+            hold_until,
+            self.random.random(),
+            member_order,
+        )
         if group.primary is None:
-            self.probe_all(group, math.inf)  # those never probed
-        self.route(new)
+            self.probe_all(group, math.inf)  # only members that were never probed
+        self.route(pending)
 
-    def long(self, kind: io.RequestClass) -> bool:
-        return kind.need is Need.ANY and self.usual[kind.name] > LONG * min(self.usual.values())
+    def is_long_read(self, request_class: interface.RequestClass) -> bool:
+        """Whether reads of a class take much longer than others, so that they are kept to the first replicas."""
+        usual = self.usual
+        return request_class.need is Need.ANY and (
+            usual[request_class.name] > LONG_READ_LATENCY_FACTOR * min(usual.values())
+        )
 
     def route(self, pending: Pending) -> None:
-        """Send it, hold it, or give it its final answer."""
-        pending.group.held[pending.kind.name].pop(pending.ask.id, None)
-        more = len(pending.tried) < self.settings.max_attempts and self.now < pending.last_call
-        if not (self.repeatable(pending) and more):
+        """Send a request, hold it, or give it its final answer if it may not be sent again."""
+        pending.group.held[pending.request_class.name].pop(pending.request.id, None)
+        may_try = len(pending.tried) < self.settings.max_attempts and self.now < pending.send_cutoff
+        if not (self.may_repeat(pending) and may_try):
             return self.give_up(pending)
-        if (member := self.choose(pending)) is None:
+        if (member := self.choose_member(pending)) is None:
             return self.hold(pending)
         self.send(pending, member)
 
-    def repeatable(self, pending: Pending, wait: float = 0.0) -> bool:
-        """Rule 2: whether it may be sent, or by its client sent again, so many seconds from now."""
-        kind, ran = pending.kind, pending.maybe_ran
-        keyed = kind.effect is Effect.KEYED and ran is not None and self.now + wait < ran + kind.window
-        return ran is None or kind.effect is Effect.SAFE or keyed
-
-    def choose(self, pending: Pending) -> Member | None:
-        group, primary = pending.group, pending.group.primary
-        if pending.kind.need in (Need.WRITE, Need.FRESH):
-            to = primary if self.crowd or primary not in pending.tried[-1:] else None
-            if to is not None and self.usable(pending, to) and not self.look(to) and self.room(pending, to):
-                return to
-            if primary is not None or pending.kind.need is Need.FRESH:
+    def may_repeat(self, pending: Pending, wait: float = 0.0) -> bool:
+        """Rule 2, no effect twice: whether a request may be sent again `wait` seconds from now.
+
+        That is so if nothing of it can have run, if its class is safe, or while members still discard repeats of a
+        keyed request. It holds for attempts of this router as well as for a retry by the client.
+        """
+        request_class = pending.request_class
+        may_have_run_at = pending.may_have_run_at
+        within_window = (
+            request_class.effect is Effect.KEYED
+            and may_have_run_at is not None
+            and self.now + wait < may_have_run_at + request_class.window
+        )
+        return may_have_run_at is None or request_class.effect is Effect.SAFE or within_window
+
+    def choose_member(self, pending: Pending) -> Member | None:
+        """Choose the member for the next attempt; None to hold the request until more is known.
+
+        Writes and fresh reads go to the primary alone. While no primary is known, a write is sent to members in turn:
+        one that is no primary turns it away untouched, and the primary takes it.
+
+        Other reads go to the less loaded of two healthy replicas that are known to be recent enough. Without such a
+        replica they go to the primary if that is uncrowded or if no replica is recent enough, and else to a replica
+        that looks unhealthy.
+        """
+        group = pending.group
+        primary = group.primary
+        if pending.request_class.need in (Need.WRITE, Need.FRESH):
+            # A small fleet does not repeat an attempt at the same member at once.
+            target = primary if self.is_large_fleet or primary not in pending.tried[-1:] else None
+            if (
+                target is not None
+                and self.is_usable(pending, target)
+                and not self.awaits_report(target)
+                and self.has_capacity(pending, target)
+            ):
+                return target
+            if primary is not None or pending.request_class.need is Need.FRESH:
                 return None
-            # one round of tries; in a crowd, where nobody probes, again and again but for the last
-            since = max(group.lost, self.now - SELDOM * LOOK * self.shortest) if self.crowd else group.lost
-            spent = self.crowd and len(pending.tried) >= self.settings.max_attempts - 1
-            for member in () if spent else pending.order:
-                if member.role_at <= since and member not in pending.tried[-2 if self.crowd else 0 :]:
-                    if self.crowd and self.settings.may_probe and self.warm(member) < 1:
-                        self.probe(member, SELDOM * LOOK * self.shortest)  # its word costs it less than a try
-                    elif self.usable(pending, member):
+            # A small fleet tries each member once. A large one does not probe for the primary, so it goes round the
+            # members again and again until one attempt is left, which is kept for the primary.
+            search_interval = (
+                LARGE_FLEET_REPORT_LIFETIME_FACTOR * REPORT_LIFETIME_SHORTEST_AIMS * self.shortest_aim
+            )
+            role_unknown_since = (
+                max(group.primary_lost_at, self.now - search_interval)
+                if self.is_large_fleet
+                else group.primary_lost_at
+            )
+            search_ended = self.is_large_fleet and len(pending.tried) >= self.settings.max_attempts - 1
+            for member in () if search_ended else pending.member_order:
+                recently_tried = pending.tried[-2 if self.is_large_fleet else 0 :]
+                if member.role_known_at <= role_unknown_since and member not in recently_tried:
+                    if self.is_large_fleet and self.settings.may_probe and self.warm_share(member) < 1:
+                        self.probe(member, search_interval)  # costs a cold member less than an attempt
+                    elif self.is_usable(pending, member):
                         return member
             return None
-        floor = self.floor(pending, self.now)
-        fresh = [m for m in pending.order if m not in (primary, *pending.tried) and self.open(pending, m)]
-        if self.crowd:  # long reads may block a log, so they stay with one, and what needs proof goes past it
-            packed, proof = min((m.name for m in fresh), default=""), floor > -math.inf
-            fresh = [m for m in fresh if m.name == packed or not self.long(pending.kind)]
-            fresh.sort(key=lambda m: (m.strained > 0, not self.recent(m, floor), proof and m.name == packed))
-        # proof asked for once in vain: the primary rather than one probe more, if it has room
-        free = self.crowd and primary is not None and self.warm(primary) >= 1 and primary.strained < 0
-        pair: list[Member] = []
-        for member in fresh:  # the first two that are healthy and known recent enough
-            if pair and (len(pair) == 2 or self.crowd or self.expected(pair[0]) < CROWDED * pending.kind.aim):
-                break  # where the first is idle no other is asked
-            well = self.healthy(member)
-            asked = well and self.look(member, floor)
-            if asked and not (self.crowd and member.strained > member.reported):
+        min_position = self.required_position(pending, self.now)
+        replicas = [
+            member
+            for member in pending.member_order
+            if member not in (primary, *pending.tried) and self.admits(pending, member)
+        ]
+        if self.is_large_fleet:
+            # Long reads may block replication, so all of them go to one replica, and reads that need a recent
+            # position consider that replica last.
+            long_read_member = min((member.name for member in replicas), default="")
+            needs_position = min_position > -math.inf
+            replicas = [
+                member
+                for member in replicas
+                if member.name == long_read_member or not self.is_long_read(pending.request_class)
+            ]
+            replicas.sort(
+                key=lambda member: (
+                    member.overloaded_at > 0,
+                    not self.is_recent_enough(member, min_position),
+                    needs_position and member.name == long_read_member,
+                )
+            )
+        # In a large fleet, once a probed replica is not recent enough, the primary is used instead of one more probe,
+        # as long as it has room.
+        primary_has_room = (
+            self.is_large_fleet
+            and primary is not None
+            and self.warm_share(primary) >= 1
+            and primary.overloaded_at < 0
+        )
+        candidates: list[Member] = []  # the first two that are healthy and known to be recent enough
+        for member in replicas:
+            if candidates and (
+                len(candidates) == 2
+                or self.is_large_fleet
+                or self.expected_latency(candidates[0]) < UNCROWDED_AIM_SHARE * pending.request_class.aim
+            ):
+                break  # an uncrowded first candidate is taken without a probe of another
+            healthy = self.healthy(member)
+            awaits_report = healthy and self.awaits_report(member, min_position)
+            if awaits_report and not (self.is_large_fleet and member.overloaded_at > member.reported):
                 return None
-            if well and not asked and self.recent(member, floor) and self.room(pending, member):
-                pair.append(member)
-            elif free and not self.recent(member, floor):
+            if (
+                healthy
+                and not awaits_report
+                and self.is_recent_enough(member, min_position)
+                and self.has_capacity(pending, member)
+            ):
+                candidates.append(member)
+            elif primary_has_room and not self.is_recent_enough(member, min_position):
                 break
-        if pair:
-            return min(pair, key=self.load)
-        able = [m for m in fresh if self.recent(m, floor) and not (self.crowd and m.strained > m.reported)]
-        spare = primary if primary not in pending.tried else None  # what only it can serve comes first
-        free = not self.crowd and spare is not None and self.expected(spare) < CROWDED * pending.kind.aim
-        if spare is not None and (free or not able) and self.usable(pending, spare):
-            return None if (self.crowd and self.look(spare)) or not self.room(pending, spare) else spare
-        return next((m for m in able if self.room(pending, m)), None)  # if all look bad, as if none did
-
-    def load(self, member: Member) -> float:
+        if candidates:
+            return min(candidates, key=self.current_load)
+        recent_replicas = [
+            member
+            for member in replicas
+            if self.is_recent_enough(member, min_position)
+            and not (self.is_large_fleet and member.overloaded_at > member.reported)
+        ]
+        untried_primary = primary if primary not in pending.tried else None
+        # Requests that only the primary can serve come first, so reads use it only if it is uncrowded or if there is
+        # no other member.
+        primary_uncrowded = (
+            not self.is_large_fleet
+            and untried_primary is not None
+            and self.expected_latency(untried_primary) < UNCROWDED_AIM_SHARE * pending.request_class.aim
+        )
+        if (
+            untried_primary is not None
+            and (primary_uncrowded or not recent_replicas)
+            and self.is_usable(pending, untried_primary)
+        ):
+            must_wait = (
+                self.is_large_fleet and self.awaits_report(untried_primary)
+            ) or not self.has_capacity(pending, untried_primary)
+            return None if must_wait else untried_primary
+        # If every member looks unhealthy, health is ignored.
+        return next((member for member in recent_replicas if self.has_capacity(pending, member)), None)
+
+    def current_load(self, member: Member) -> float:
+        """Requests at a member: as reported, and at least those that this router has in flight there."""
         return max(len(member.flying), member.load)
 
-    def look(self, member: Member, floor: float = -math.inf) -> bool:
-        """Whether to wait for a report: who sees little asks before, not after."""
-        catch_up = min(FORGIVEN * self.shortest, CATCH_UP * max(0.0, floor - member.position))
-        lapse = (SELDOM if self.crowd else 1.0) * LOOK * self.shortest + catch_up
-        seen, strained = (member.reported, member.strained) if self.crowd else (member.seen, -math.inf)
-        told = member.reported >= max(member.probed, strained) and self.now - member.probed < lapse
-        met = self.warm(member) >= 1 or member.reported > (member.started or 0.0)  # its own word
-        calm = self.crowd and met and strained == -math.inf and member is not member.group.primary
-        known = self.recent(member, floor) and (calm or (seen > strained and self.now - seen < lapse))
-        if known or told or not self.settings.may_probe:
+    def awaits_report(self, member: Member, min_position: float = -math.inf) -> bool:
+        """Whether to wait for a report of a member before sending to it; probes the member if its report is too old.
+
+        A router that sends little knows little of a member's load, role and position, and a wrong attempt costs more
+        than a probe. The wait ends after one tick without a report, except for a member that was overloaded.
+        """
+        catch_up_delay = min(
+            FAILURE_MEMORY_SHORTEST_AIMS * self.shortest_aim,
+            CATCH_UP_DELAY_PER_SECOND_BEHIND * max(0.0, min_position - member.position),
+        )
+        lifetime_factor = LARGE_FLEET_REPORT_LIFETIME_FACTOR if self.is_large_fleet else 1.0
+        lifetime = lifetime_factor * REPORT_LIFETIME_SHORTEST_AIMS * self.shortest_aim + catch_up_delay
+        last_heard_at = member.reported if self.is_large_fleet else member.seen
+        overloaded_at = member.overloaded_at if self.is_large_fleet else -math.inf
+        reported_since_probe = (
+            member.reported >= max(member.probed, overloaded_at) and self.now - member.probed < lifetime
+        )
+        reported_since_start = self.warm_share(member) >= 1 or member.reported > (member.started or 0.0)
+        # A large fleet trusts such a replica without a current report, so that it need not probe it.
+        is_trusted = (
+            self.is_large_fleet
+            and reported_since_start
+            and overloaded_at == -math.inf
+            and member is not member.group.primary
+        )
+        is_known = self.is_recent_enough(member, min_position) and (
+            is_trusted or (last_heard_at > overloaded_at and self.now - last_heard_at < lifetime)
+        )
+        if is_known or reported_since_probe or not self.settings.may_probe:
             return False
-        self.probe(member, lapse)
-        return member.reported < strained or self.now - member.probed < STEP * self.shortest
-
-    def floor(self, pending: Pending, sent: float) -> float:
-        return sent - pending.kind.bound if pending.kind.need is Need.BOUNDED else pending.floor
-
-    def recent(self, member: Member, floor: float) -> bool:
-        """Proven recent enough or, where members check reads, not found to be further behind than that."""
-        return member.position >= floor or (self.settings.members_check and self.now - floor > member.behind)
+        self.probe(member, lifetime)
+        return (
+            member.reported < overloaded_at
+            or self.now - member.probed < TICK_SHORTEST_AIMS * self.shortest_aim
+        )
+
+    def required_position(self, pending: Pending, sent_at: float) -> float:
+        """Position that a member must have to serve a request sent at `sent_at` (rule 5, no stale read)."""
+        is_bounded = pending.request_class.need is Need.BOUNDED
+        return sent_at - pending.request_class.bound if is_bounded else pending.min_position
+
+    def is_recent_enough(self, member: Member, min_position: float) -> bool:
+        """Whether a member may serve a read that needs `min_position`: rule 5.
+
+        Its position has to be proven. Where members check reads themselves, it suffices that the member was not found
+        to be further behind than that.
+        """
+        return member.position >= min_position or (
+            self.settings.members_check and self.now - min_position > member.replication_lag
+        )
 
     def send(self, pending: Pending, member: Member) -> None:
-        usual, number = self.usual[pending.kind.name], len(pending.tried)
-        pending.flying[number] = member
+        """Start the next attempt of a request, and check on it later if it is safe to move elsewhere."""
+        usual_latency = self.usual[pending.request_class.name]
+        attempt = len(pending.tried)
+        pending.in_flight[attempt] = member
         member.load = max(member.load, len(member.flying)) + 1
-        member.flying[pending.ask.id, number] = self.now, usual, member.load
-        member.work, member.haste = member.work + usual, member.haste + 1 / usual
-        member.base = self.now if member.base == -math.inf else member.base
-        member.lag += (self.now - member.base) / usual
+        member.flying[pending.request.id, attempt] = self.now, usual_latency, member.load
+        member.in_flight_work += usual_latency
+        member.expected_rate += 1 / usual_latency
+        member.lateness_base = self.now if member.lateness_base == -math.inf else member.lateness_base
+        member.lateness_offset += (self.now - member.lateness_base) / usual_latency
         pending.tried.append(member)
-        self.actions.append(io.Send(pending.ask.id, member.name, pending.ask.deadline - self.now))
-        if pending.kind.effect is Effect.SAFE:
-            self.after(PATIENCE * usual, lambda: self.help(pending, number))
-
-    def help(self, pending: Pending, attempt: int) -> None:
-        """A safe attempt is overdue: it is moved away from a member that looks sick."""
-        if (member := pending.flying.get(attempt)) and self.settings.may_cancel and not self.healthy(member):
-            self.actions.append(io.Cancel(pending.ask.id, attempt))
+        self.actions.append(
+            interface.Send(pending.request.id, member.name, pending.request.deadline - self.now)
+        )
+        if pending.request_class.effect is Effect.SAFE:
+            self.schedule(
+                OVERDUE_ATTEMPT_LATENCIES * usual_latency, lambda: self.cancel_if_unhealthy(pending, attempt)
+            )
+
+    def cancel_if_unhealthy(self, pending: Pending, attempt: int) -> None:
+        """Cancel an overdue attempt at a member that looks unhealthy; its outcome lets the request go elsewhere."""
+        if (
+            (member := pending.in_flight.get(attempt))
+            and self.settings.may_cancel
+            and not self.healthy(member)
+        ):
+            self.actions.append(interface.Cancel(pending.request.id, attempt))
 
     def holds(self, now: float, request: int, attempt: int) -> bool:
-        """Whether an attempt that waited for its connection may still leave: rules 2 and 5 as of `now`."""
-        self.now, pending = now, self.requests.get(request)
-        if pending is None or attempt not in pending.flying or not self.repeatable(pending):
+        """Whether an attempt that waited for its connection may still be sent at the clock time `now`.
+
+        Checks rule 2 (no effect twice) and rule 5 (no stale read) again, as time has passed since the decision.
+        """
+        self.now = now
+        pending = self.requests.get(request)
+        if pending is None or attempt not in pending.in_flight or not self.may_repeat(pending):
             return False
-        member, fresh = pending.flying[attempt], pending.kind.need is Need.FRESH
-        return member is member.group.primary or (not fresh and self.recent(member, self.floor(pending, now)))
+        member = pending.in_flight[attempt]
+        is_fresh_read = pending.request_class.need is Need.FRESH
+        return member is member.group.primary or (
+            not is_fresh_read and self.is_recent_enough(member, self.required_position(pending, now))
+        )
 
-    # ---- guards
+    # ---- final answers and held requests
     def give_up(self, pending: Pending) -> None:
-        """The one final answer, at once."""
-        kind, wait, word = pending.kind, self.settings.max_retry_after, why(self, pending)
-        alone = pending.maybe_ran is not None and kind.effect is Effect.KEYED and kind.group_only
-        again = self.repeatable(pending, wait) and not alone  # by its client, who may come when it is told to
-        self.actions.append(io.Refuse(pending.ask.id, wait, word) if again else io.Fail(pending.ask.id, word))
-        self.forget(pending)
-
-    def forget(self, pending: Pending, cancel: bool = True) -> None:
-        pending.group.held[pending.kind.name].pop(pending.ask.id, None)
-        self.requests.pop(pending.ask.id, None)
+        """Give a request its one final answer now: refused if its client may retry it, else failed.
+
+        A keyed request that may have run and whose repeats only its own group discards is not left to the client,
+        whose retry may go to another group.
+        """
+        request_class = pending.request_class
+        retry_after = self.settings.max_retry_after
+        reason = refusal_reason(self, pending)
+        only_group_discards = (
+            pending.may_have_run_at is not None
+            and request_class.effect is Effect.KEYED
+            and request_class.group_only
+        )
+        client_may_retry = self.may_repeat(pending, retry_after) and not only_group_discards
+        self.actions.append(
+            interface.Refuse(pending.request.id, retry_after, reason)
+            if client_may_retry
+            else interface.Fail(pending.request.id, reason)
+        )
+        self.remove_request(pending)
+
+    def remove_request(self, pending: Pending, cancel: bool = True) -> None:
+        """Drop a request that needs no answer any more, and cancel its attempts if `cancel` is set and allowed."""
+        pending.group.held[pending.request_class.name].pop(pending.request.id, None)
+        self.requests.pop(pending.request.id, None)
         if cancel and self.settings.may_cancel:
-            self.actions.extend(io.Cancel(pending.ask.id, attempt) for attempt in pending.flying)
-        pending.flying.clear()
+            self.actions.extend(
+                interface.Cancel(pending.request.id, attempt) for attempt in pending.in_flight
+            )
+        pending.in_flight.clear()
 
     def hold(self, pending: Pending) -> None:
-        group, end = pending.group, pending.last_call if pending.reached else pending.hold_end
-        if self.now + STEP * self.shortest >= end:
+        """Keep a request until it can be sent, or give it up if its time ends before the next check.
+
+        A request that reached no member is held for less time than one that did, and its client retries later.
+        """
+        group = pending.group
+        hold_end = pending.send_cutoff if pending.reached_member else pending.hold_until
+        if self.now + TICK_SHORTEST_AIMS * self.shortest_aim >= hold_end:
             return self.give_up(pending)
-        group.held[pending.kind.name][pending.ask.id] = pending
-        if not pending.ending:
-            pending.ending = True
-            heappush(group.ends, (end, pending.ask.id))
-        self.watch(group)
-
-    def watch(self, group: Group) -> None:
-        if not group.tending:
-            group.tending = True
-            self.after(STEP * self.shortest, lambda: self.tend(group))
-
-    def tend(self, group: Group) -> None:
-        """While work is held: look for a primary, answer what runs out of time, send what can go."""
-        group.tending = False
+        group.held[pending.request_class.name][pending.request.id] = pending
+        if not pending.in_hold_ends:
+            pending.in_hold_ends = True
+            heappush(group.hold_ends, (hold_end, pending.request.id))
+        self.schedule_held_check(group)
+
+    def schedule_held_check(self, group: Group) -> None:
+        """Set the timer for the next check of a group's held requests, unless it is set."""
+        if not group.check_scheduled:
+            group.check_scheduled = True
+            self.schedule(TICK_SHORTEST_AIMS * self.shortest_aim, lambda: self.maintain_held_requests(group))
+
+    def maintain_held_requests(self, group: Group) -> None:
+        """Periodic check while requests are held: look for a primary, give up what runs out of time, retry some."""
+        group.check_scheduled = False
         if any(group.held.values()) and (group.primary is None or not self.healthy(group.primary)):
-            self.probe_all(group, 4 * STEP * self.shortest)
-        while group.ends and group.ends[0][0] <= self.now + STEP * self.shortest:
-            if (pending := self.requests.get(heappop(group.ends)[1])) is not None:
-                pending.ending = False  # one that is out there is held no more when it comes back
-                if pending.ask.id in group.held[pending.kind.name]:
-                    self.hold(pending)  # which gives it up if this is its end
-        self.release(group, SWEEP)
+            self.probe_all(group, 4 * TICK_SHORTEST_AIMS * self.shortest_aim)
+        next_check_at = self.now + TICK_SHORTEST_AIMS * self.shortest_aim
+        while group.hold_ends and group.hold_ends[0][0] <= next_check_at:
+            if (pending := self.requests.get(heappop(group.hold_ends)[1])) is not None:
+                pending.in_hold_ends = False  # a request in flight is not held again when it comes back
+                if pending.request.id in group.held[pending.request_class.name]:
+                    self.hold(pending)  # gives it up if its time ends before the next check
+        self.retry_held_requests(group, MAX_MISSES_PER_TICK)
         if any(group.held.values()):
-            return self.watch(group)
-        for pending in [self.requests[number] for _, number in group.ends if number in self.requests]:
-            pending.ending = False  # what is out there may come to be held again
-        group.ends.clear()
-
-    def release(self, group: Group, most: int, told: Member | None = None) -> None:
-        """Try some of what is held, in turn, best worth for its work first; what is held on goes to the end.
-        What waits for the primary alone is not tried for word of somebody else (`told`)."""
-        others = told is not None and group.primary is not None and told is not group.primary
-        for name in sorted(group.held, key=lambda name: -self.kinds[name].worth / self.usual[name]):
-            waiting = group.held[name]
-            missed = most if others and self.kinds[name].need in (Need.WRITE, Need.FRESH) else 0
-            for number in tuple(islice(waiting, 4 * most)):
-                if number in waiting and missed < most:
-                    self.route(waiting[number])
-                    missed += number in waiting
-
-    def warm(self, member: Member) -> float:
-        """The part of its capacity that a member has at the least, by the time since its start."""
-        full, cold = self.settings.cold_time, self.settings.cold_share
+            return self.schedule_held_check(group)
+        for pending in [self.requests[number] for _, number in group.hold_ends if number in self.requests]:
+            pending.in_hold_ends = False  # a request in flight may be held again later
+        group.hold_ends.clear()
+
+    def retry_held_requests(
+        self, group: Group, max_misses: int, reporting_member: Member | None = None
+    ) -> None:
+        """Route held requests again, the class with the most worth for its work first.
+
+        Of each class at most `max_misses` are tried in vain; these move to the end of their queue, so all have their
+        turn. News of a `reporting_member` other than the known primary cannot help requests that only the primary
+        may serve, so those are not tried for it.
+        """
+        is_replica_news = (
+            reporting_member is not None
+            and group.primary is not None
+            and reporting_member is not group.primary
+        )
+        for class_name in sorted(group.held, key=lambda name: -self.classes[name].worth / self.usual[name]):
+            held = group.held[class_name]
+            is_primary_only = self.classes[class_name].need in (Need.WRITE, Need.FRESH)
+            misses = max_misses if is_replica_news and is_primary_only else 0
+            for number in tuple(islice(held, 4 * max_misses)):
+                if number in held and misses < max_misses:
+                    self.route(held[number])
+                    misses += number in held
+
+    # ---- capacity and health of members
+    def warm_share(self, member: Member) -> float:
+        """Fraction of its full capacity that a member is sure to have: it grows linearly from its start."""
+        cold_time = self.settings.cold_time
+        cold_share = self.settings.cold_share
         age = self.now - (member.started or -math.inf)
-        return 1.0 if age >= full else cold + (1 - cold) * max(0.0, age) / full
-
-    def open(self, pending: Pending, member: Member) -> bool:
-        """Rules 3 and 4: nothing for a member that drains; a cold one takes the share of requests that it is
-        warmed up to. The draw stays with the request: all routers together keep to it, no wait draws anew."""
-        warm = self.warm(member)
-        part = COLD_PART * self.settings.fall_multiple * warm
-        if self.crowd and pending.kind.need in (Need.WRITE, Need.FRESH):
-            part /= min(1.0, max(0.5, self.primaries * len(member.group.members)))
-        return (warm >= 1 or pending.luck < part) and member.state is State.READY
-
-    def expected(self, member: Member) -> float:
-        """Latency of one more request there, at the pace of all; one that is cold may be all that is left."""
-        return (self.load(member) + 1) * self.pace_time / self.pace_load / self.warm(member)
-
-    def answered(self, member: Member, more: float = 0.0) -> float:
-        span, past = RATE_SPAN * self.shortest, member.rated - self.now
-        member.rate, member.rated = member.rate * math.exp(past / span) + more / span, self.now
+        return 1.0 if age >= cold_time else cold_share + (1 - cold_share) * max(0.0, age) / cold_time
+
+    def admits(self, pending: Pending, member: Member) -> bool:
+        """Whether a member may get a new request: rule 3 (drains are kept) and rule 4 (no cold member overloaded).
+
+        A cold member takes a share of the requests that grows with its warmth. Each request keeps its draw, so a wait
+        or a retry does not draw again and all routers together keep to the share. In a large fleet the share of
+        requests that only a primary may serve is raised if they are fewer than an even part of the load.
+        """
+        warm_share = self.warm_share(member)
+        admitted_share = COLD_ADMISSION_SHARE * self.settings.fall_multiple * warm_share
+        if self.is_large_fleet and pending.request_class.need in (Need.WRITE, Need.FRESH):
+            admitted_share /= min(1.0, max(0.5, self.primary_only_share * len(member.group.members)))
+        return (warm_share >= 1 or pending.admission_draw < admitted_share) and member.state is State.READY
+
+    def expected_latency(self, member: Member) -> float:
+        """Latency in seconds of one more request at a member, at the measured pace of all members.
+
+        It counts the capacity of a cold member as reduced, because cold members may be all that is left.
+        """
+        return (self.current_load(member) + 1) * self.pace_time / self.pace_load / self.warm_share(member)
+
+    def update_answer_rate(self, member: Member, answered_work: float = 0.0) -> float:
+        """Decay a member's answer rate to the present, add answered work (seconds of usual latency), return it."""
+        span = ANSWER_RATE_SPAN_SHORTEST_AIMS * self.shortest_aim
+        elapsed = self.now - member.answer_rate_at
+        member.rate = member.rate * math.exp(-elapsed / span) + answered_work / span
+        member.answer_rate_at = self.now
         return member.rate
 
-    def room(self, pending: Pending, member: Member) -> bool:
-        """A crowded member gets what it will answer in time; the rest waits here, best first. Where we have
-        attempts out there our answer rate tells, else the pace of all members at the load that it reports."""
-        kind, expected = pending.kind, self.expected(member)
-        if len(member.flying) < 2 or expected < CROWDED * kind.aim:
-            best = max(other.worth / self.usual[other.name] for other in self.settings.classes)
-            rank = kind.worth / self.usual[kind.name] / best if best else 1.0
-            return expected <= (TARGET + (PACE_TARGET - TARGET) * rank) * kind.aim
-        return self.usual[kind.name] + member.work <= TARGET * kind.aim * self.answered(member)
-
-    def sick(self, member: Member) -> bool:
-        """No connection, answers overdue over all that is out there, or a primary whose position stands
-        still, though it may answer probes: a hang, a dead host, a cut link."""
-        down = self.now - member.refused < LOOK * self.shortest
-        late, silent = 0.0, self.now - member.alive
-        if silent >= STEP * self.shortest and silent * member.haste >= SILENCE:  # less is but a hiccup
-            late = (self.now - member.base) * member.haste - member.lag
-        return down or late >= SILENCE or (member.group.primary is member and member.behind > 0)
+    def has_capacity(self, pending: Pending, member: Member) -> bool:
+        """Whether a member is expected to answer one more request in time; otherwise the request waits here.
+
+        For a member with attempts of this router in flight, the rate at which it answers them decides. For others
+        and for uncrowded ones the pace of all members at its reported load decides, and classes with more worth for
+        their work may use more of the capacity.
+        """
+        request_class = pending.request_class
+        expected_latency = self.expected_latency(member)
+        if len(member.flying) < 2 or expected_latency < UNCROWDED_AIM_SHARE * request_class.aim:
+            best_worth_rate = max(other.worth / self.usual[other.name] for other in self.settings.classes)
+            worth_rate = request_class.worth / self.usual[request_class.name]
+            rank = worth_rate / best_worth_rate if best_worth_rate else 1.0
+            target = (
+                LATENCY_TARGET_AIM_SHARE + (BEST_WORTH_TARGET_AIM_SHARE - LATENCY_TARGET_AIM_SHARE) * rank
+            )
+            return expected_latency <= target * request_class.aim
+        queued_work = self.usual[request_class.name] + member.in_flight_work
+        answer_rate = self.update_answer_rate(member)
+        return queued_work <= LATENCY_TARGET_AIM_SHARE * request_class.aim * answer_rate
+
+    def is_unresponsive(self, member: Member) -> bool:
+        """Whether a member seems to hang, to be down or to be cut off.
+
+        That is so after a refused connection, if the answers to all attempts in flight are overdue, or for a primary
+        whose position stands still though it may answer probes.
+        """
+        connect_failed = (
+            self.now - member.connect_failed_at < REPORT_LIFETIME_SHORTEST_AIMS * self.shortest_aim
+        )
+        overdue_answers = 0.0
+        silence = self.now - member.last_answer_at
+        # A silence shorter than a tick may be a pause of this router.
+        if (
+            silence >= TICK_SHORTEST_AIMS * self.shortest_aim
+            and silence * member.expected_rate >= MAX_OVERDUE_ANSWERS
+        ):
+            overdue_answers = (
+                self.now - member.lateness_base
+            ) * member.expected_rate - member.lateness_offset
+        return (
+            connect_failed
+            or overdue_answers >= MAX_OVERDUE_ANSWERS
+            or (member.group.primary is member and member.replication_lag > 0)
+        )
 
     def healthy(self, member: Member) -> bool:
-        waited = self.now - member.probed  # asked for a report in vain: dead, cut off or far away
-        mute = member.probed > member.reported and STEP * self.shortest <= waited < LOOK * self.shortest
-        return not (mute or self.sick(member)) and self.now - member.failed >= FORGIVEN * self.shortest
-
-    def usable(self, pending: Pending, member: Member) -> bool:
-        """For writes: errors alone don't bar a primary, as nobody else could take them."""
-        return self.open(pending, member) and not self.sick(member)
+        """Whether a member is responsive, answers probes in time and had no failure lately that counts."""
+        since_probe = self.now - member.probed
+        # A probe without an answer: the member is down, cut off or far away.
+        ignores_probe = (
+            member.probed > member.reported
+            and TICK_SHORTEST_AIMS * self.shortest_aim
+            <= since_probe
+            < REPORT_LIFETIME_SHORTEST_AIMS * self.shortest_aim
+        )
+        return (
+            not (ignores_probe or self.is_unresponsive(member))
+            and self.now - member.failed_at >= FAILURE_MEMORY_SHORTEST_AIMS * self.shortest_aim
+        )
+
+    def is_usable(self, pending: Pending, member: Member) -> bool:
+        """Whether a member may get a request that nobody else could take.
+
+        Unlike `healthy` it ignores failed attempts, since errors alone do not bar a primary from writes.
+        """
+        return self.admits(pending, member) and not self.is_unresponsive(member)
--- a/banklift/decide/__init__.py
+++ b/banklift/decide/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions beside the module, without I/O."""
+"""Decisions beside the balancer, without I/O: changes of settings, queue limits, replication offsets."""
--- a/tests/test_adopt.py
+++ b/tests/test_adopt.py
@@ -30,12 +30,12 @@
     rig.ask("GET", "alert:1")
     link = rig.up("r:1")
     change(rig, **without(rig, "alert-check"))
-    assert "alert-check" in rig.machine.balancer.kinds  # something of it is open
+    assert "alert-check" in rig.machine.balancer.classes  # something of it is open
     rig.tell(ev.LinkData(link, info(False, 5) + b"$1\r\nx\r\n"))
     assert rig.answer() == b"$1\r\nx\r\n"
     assert link not in rig.closed
     change(rig, **without(rig, "alert-check"))
-    assert "alert-check" not in rig.machine.balancer.kinds
+    assert "alert-check" not in rig.machine.balancer.classes
 
 
 def test_a_held_write_of_a_class_that_goes_away_is_refused_in_its_own_time() -> None:
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -249,7 +249,7 @@
 
 
 def test_forgotten_sessions_stay_safe_and_memory_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("banklift.balance.SESSIONS", 3)
+    monkeypatch.setattr("banklift.balance.MAX_SESSIONS", 3)
     bench = Bench(replace(SETTINGS, client_tokens=False))
     for session in range(5):
         bench.ask("write", session=session)
@@ -482,7 +482,7 @@
     bench = Bench()
     bench.positions()
     for member in bench.balancer.members.values():
-        member.failed = bench.now
+        member.failed_at = bench.now
     assert targets(bench.ask("loose"))
 
 
@@ -576,8 +576,14 @@
             pending = bench.balancer.requests[send.request]
             out.append((send.request, len(pending.tried) - 1, send.member))
         for one in bench.balancer.members.values():
-            by_all = sum((bench.now - max(sent, one.alive)) / usual for sent, usual, _ in one.flying.values())
-            by_sums = (bench.now - one.base) * one.haste - one.lag if one.flying else 0.0
+            by_all = sum(
+                (bench.now - max(sent, one.last_answer_at)) / usual for sent, usual, _ in one.flying.values()
+            )
+            by_sums = (
+                (bench.now - one.lateness_base) * one.expected_rate - one.lateness_offset
+                if one.flying
+                else 0.0
+            )
             assert by_sums == pytest.approx(by_all, abs=1e-6)
             judged += by_all > 6
     assert judged > 100
@@ -605,7 +611,7 @@
     refused = [(at, action.request) for at, action in bench.log if isinstance(action, Refuse)]
     assert sorted(request for _, request in refused) == list(range(first, first + 1000))
     assert all(at < T0 + 0.8 for at, _ in refused)  # its worth is over then
-    assert not bench.balancer.groups[1].ends
+    assert not bench.balancer.groups[1].hold_ends
 
 
 def test_word_of_a_replica_does_not_try_writes_that_wait_for_the_primary() -> None:
@@ -614,13 +620,13 @@
     bench.do(Probed("p", True, 0.001, Report(bench.now, True, in_flight=1000.0)))
     assert not targets(bench.ask("write"))
     tried: list[str] = []
-    choose = bench.balancer.choose
+    choose = bench.balancer.choose_member
 
     def noted(pending: Any) -> Any:
-        tried.append(pending.kind.name)
+        tried.append(pending.request_class.name)
         return choose(pending)
 
-    bench.balancer.choose = noted  # type: ignore[method-assign]
+    bench.balancer.choose_member = noted  # type: ignore[method-assign]
     bench.do(Probed("r1", True, 0.001, Report(position=bench.now, primary=False)))
     assert "write" not in tried
     bench.do(Probed("p", True, 0.001, Report(bench.now, True, in_flight=0.0)))
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -29,7 +29,7 @@
     Timer,
 )
 from banklift.adapter import parse_settings
-from banklift.balance import FEW, FORGIVEN
+from banklift.balance import FAILURE_MEMORY_SHORTEST_AIMS, SMALL_FLEET_ROUTERS
 from tests.platform_site import SETTINGS as PLATFORM
 from tests.test_balance import SETTINGS, Bench, of
 
@@ -231,7 +231,7 @@
 
 
 def test_a_few_routers_ask_before_they_send() -> None:
-    fleet = Fleet(3, FEW)
+    fleet = Fleet(3, SMALL_FLEET_ROUTERS)
     fleet.offer(6.0)
     fleet.run(8.0)
     assert fleet.probes > 0.4 * sum(fleet.asked.values())
@@ -364,7 +364,7 @@
     member = bench.balancer.members["r1"]
     bench.do(Probed("r1", True, 0.01, Report(bench.now, False, 40.0)))
     bench.run(30.0)
-    assert bench.balancer.load(member) == 40.0
+    assert bench.balancer.current_load(member) == 40.0
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -409,7 +409,7 @@
     assert not sent and not any(member.flying for member in bench.balancer.members.values())
     bench.run(0.5)
     assert not of(Send, bench.ask("loose"))  # it may well be as full as it was
-    bench.run(FORGIVEN * 0.5)
+    bench.run(FAILURE_MEMORY_SHORTEST_AIMS * 0.5)
     assert bool(of(Send, bench.ask("loose"))) is not loads
 
 
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -137,7 +137,7 @@
     rig.wait(1.0)
     group = machine.balancer.groups[0]
     assert not machine.open and not machine.flying and not machine.balancer.requests
-    assert not any(group.held.values()) and not group.ends
+    assert not any(group.held.values()) and not group.hold_ends
     assert all(node.queued == 0 and not any(node.waiting.values()) for node in machine.nodes.values())
     assert all(queue.open == 0 for queue in machine.queues.queues.values())
     assert len(machine.front.clients) == 1  # type: ignore[attr-defined]
