--- a/banklift/decide/offsets.py
+++ b/banklift/decide/offsets.py
@@ -1,32 +1,34 @@
-"""From replication offsets to the module's positions (times), and who may call itself primary.
+"""Replication offsets turned into the balancer's positions (times), and which member of a group is its primary.
 
-Theory of operation. The module thinks in times: a member with position p has applied every commit up to p. Members
-speak in offsets: bytes of a replication stream with an id, the history. The bridge is a *sample*: the primary's offset,
-answered to a question that we sent at t. Every commit before t lies at or below that offset, so whoever has applied
-that offset has position t or later. Samples come with every answer of a primary and with probes of it.
+The balancer counts in times: a member with position p has applied every commit up to p. Members report offsets: bytes
+of a replication stream that is identified by a replication id, here called a history. *Samples* connect the two: a
+sample is the primary's offset with the time at which the router asked for it. Every commit before that time lies at or
+below that offset, so a member that has applied the offset has that position or a later one. Every answer of a primary
+gives a sample, and so does every probe of it.
 
-Samples are kept as a frontier, rising in time and in offset; one that another dominates (asked later, lower or equal
-offset) says nothing and is dropped, so answers that arrive out of order do no harm.
+Samples are kept as a frontier that rises in time and in offset. A sample that another one dominates (asked later, with
+a lower or equal offset) says nothing and is dropped, so answers may arrive out of order.
 
-Histories. A promoted replica begins a new history and names the old one and the first offset not shared with it
-(`master_replid2`, `second_repl_offset`). The track keeps this line of descent. A member of an older history counts up
-to the fork and no further: what it has beyond was never part of the line. A member that still calls itself primary of
-an older history is superseded: it is no primary, however late its answer comes. A member of an unknown history proves
-nothing.
+Histories. A promoted replica begins a new history, and names the old one and the first offset that the two do not share
+(`master_replid2`, `second_repl_offset`). `Track` keeps the lineage of histories:
 
-`ROLE` tells no history. Its offset is read in the history that the member's last `INFO replication` told, as long as
-role and source are the same and the offset did not fall; else it proves nothing and the member must be asked again
-(`unsure`). A member whose offset fell, or whose history left the line, holds other data than before (a restart, a full
-copy): it is `reborn`, and nothing proven about it holds on.
+- A member of an older history counts up to the fork and no further; what it has beyond was never part of the lineage.
+- A member that still calls itself primary of an older history is superseded. It is no primary, however late it answers.
+- A member of an unknown history proves nothing.
 
-Samples of an older history say something about the new one only up to the time at which its primary is known to have
-still been a replica: after that both may have taken writes, neither knowing of the other.
+`ROLE` does not tell the history. Its offset is read in the history of the member's last `INFO replication`, as long as
+role and source are the same and the offset did not fall. Otherwise it proves nothing, and the member has to be asked
+again (`Fact.unsure`). A member whose offset fell, or whose history left the lineage, has other data than before, after
+a restart or a full copy: `Fact.reborn` is set, and nothing proven of it is valid any more.
 
-A session's mark may name a history that no member has told of: its writer's router has met a new primary, and this one
-has not. Times proven by the old line then prove nothing for that session (`meet`, `covers`).
+A sample of an older history is valid for the new one only up to the last time at which the new primary is known to have
+been a replica. After that both may have taken writes, neither knowing of the other.
 
-A primary whose offset stands still idles or hangs. It hangs if a write of ours that was sent there before has had no
-answer since: then its position is the time of that write, not the present.
+A session's mark may name a history that no member has reported yet: the router of its writer has met a new primary, and
+this router has not. Times that the old lineage proves are then not valid for that session (`meet`, `covers`).
+
+A primary whose offset does not advance is idle or hangs. It hangs if a write that this router sent to it earlier is
+still unanswered. Its position is then the time of that write, not the present.
 """
 
 from __future__ import annotations
@@ -35,284 +37,340 @@
 from bisect import bisect_right
 from dataclasses import dataclass
 
-SPACING = 0.002  # seconds between samples that are worth keeping apart
-SAMPLES = 8192  # of one group: 16 s of the densest; older ones prove what nobody asks any more
-# seconds without a word of the primary after which an unrelated history may replace its own
-OWNER_SILENT = 3.0
-MARKS = 4  # histories that a session's mark speaks of, at most
-HISTORIES = 64  # that are remembered though they are not of the line
+MIN_SAMPLE_SPACING = 0.002  # seconds between samples that are kept apart
+MAX_SAMPLES = 8192  # of one group: 16 s at the closest spacing; nobody asks for what older ones prove
+PRIMARY_SILENCE_TIMEOUT = (
+    3.0  # seconds without an answer of the primary after which an unrelated history may follow
+)
+MAX_MARK_HISTORIES = 4  # histories that one session's mark may cover
+MAX_KNOWN_HISTORIES = 64  # histories outside the lineage that are remembered, of each kind
 
 
 @dataclass(frozen=True, slots=True)
 class Standing:
-    """What a member says of its place in the log."""
+    """A member's replication role and offset, as it reports them."""
 
     primary: bool
     offset: int  # bytes of the replication stream that it has written (primary) or applied (replica)
     source: str = ""  # a replica's primary, "host:port"
     linked: bool = True  # a replica's link to its primary is up
-    replid: str | None = None  # history; None where the answer doesn't tell (ROLE)
-    replid2: str | None = None  # history that this one goes on from
-    second_offset: int = -1  # first offset that is not shared with it
+    replid: str | None = None  # id of its history; None where the answer does not tell (ROLE)
+    replid2: str | None = None  # id of the history from which its own one branched off
+    second_offset: int = -1  # first offset that the two histories do not share
     load: float | None = None  # commands there, where the member tells
 
 
 @dataclass(frozen=True, slots=True)
 class Fact:
-    """What one answer tells the module."""
+    """What one answer of a member proves."""
 
-    primary: bool | None = None
-    position: float | None = None
-    reborn: bool = False
-    unsure: bool = False  # ask it for its history
+    primary: bool | None = None  # None: unknown
+    position: float | None = None  # None: nothing is proven
+    reborn: bool = False  # it has other data than before, after a restart or a full copy
+    unsure: bool = False  # its history is unknown and has to be asked for
     offset: int | None = None  # in the newest history; None: not in it
 
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """What a session has seen: commits up to `at`; in its history up to `offset`. `also`: the same of other histories
-    that it met."""
+    """Mark of what a session has seen: all commits up to `at`, and a history up to an offset."""
 
     at: float
-    replid: str | None = None
+    replid: str | None = None  # None: no history is known
     offset: int = -1
-    also: tuple[Seen, ...] = ()
+    also: tuple[Seen, ...] = ()  # marks of the other histories that the session has met
 
     def parts(self) -> tuple[Seen, ...]:
-        """One mark for each history."""
+        """Return one mark for each history."""
         return (Seen(self.at, self.replid, self.offset), *self.also)
 
 
-def keep_last(histories: dict[str, None] | dict[str, float]) -> None:
-    while len(histories) > HISTORIES:
+def drop_oldest_histories(histories: dict[str, None] | dict[str, float]) -> None:
+    """Limit a record of histories to the `MAX_KNOWN_HISTORIES` that were added last."""
+    while len(histories) > MAX_KNOWN_HISTORIES:
         del histories[next(iter(histories))]
 
 
 @dataclass(slots=True)
-class _Place:
+class _LastAnswer:
+    """What a member said last of its replication role and offset."""
+
     primary: bool
     source: str
     replid: str
     offset: int
-    answered: float
-    followed: float  # it was asked as late as this when it said that it is a replica
+    answered_at: float
+    replica_at: float  # latest time of a question to which it answered that it is a replica
 
 
 class Track:
-    """The history of one group, as one router has learnt it. Times are seconds on the router's clock."""
+    """The replication history of one group, as one router knows it. Times are seconds on the router's clock."""
 
     def __init__(self) -> None:
-        self.times: list[float] = []  # samples: when asked ...
-        self.offsets: list[int] = []  # ... and the offset answered, in the newest history
-        self.line: dict[str, int] = {}  # each history of the line: its offsets count up to here
-        self.replid: str | None = None  # newest history
-        self.owner: str | None = None  # the member that is its primary
-        self.owner_heard = -math.inf
-        self.moved = -math.inf  # when the primary's newest offset was first seen
-        self.places: dict[str, _Place] = {}
-        self.past: dict[str, None] = {}  # histories that were once of the line, and are no more
-        self.strangers: dict[str, float] = {}  # histories that only marks have told of, since when
-        self.heard = -math.inf  # the last time that anything was learnt
+        # Samples in the newest history: when the primary was asked, and the offset that it answered.
+        self.sample_times: list[float] = []
+        self.sample_offsets: list[int] = []
+        self.lineage: dict[str, int] = {}  # last offset that counts in each history of the lineage
+        self.replid: str | None = None  # the newest history
+        self.owner: str | None = None  # name of the member that is its primary
+        self.owner_heard_at = -math.inf
+        self.offset_advanced_at = -math.inf  # when the primary was asked for the newest offset first
+        self.places: dict[str, _LastAnswer] = {}  # by member
+        self.former_histories: dict[str, None] = {}  # histories that an unrelated one has replaced
+        # Histories that marks name and no member has reported, with the time of the first such mark.
+        self.unknown_histories: dict[str, float] = {}
+        self.last_learnt_at = -math.inf
 
     def learn(
-        self, member: str, standing: Standing, asked: float, now: float, waiting: float | None = None
+        self,
+        member: str,
+        status: Standing,
+        asked_at: float,
+        now: float,
+        unanswered_since: float | None = None,
     ) -> Fact:
-        """Take in one answer to `INFO replication` or `ROLE` that was asked at `asked`.
+        """Take in one answer to `INFO replication` or `ROLE`, and return what it proves.
 
-        `waiting`: when the oldest write was sent that this member has not answered yet.
+        `asked_at` is when the member was asked, `now` when its answer came, and `unanswered_since` when the oldest
+        write was sent that this member has not answered yet.
         """
-        self.heard = now
-        place, replid, reborn = self.places.get(member), standing.replid, False
-        if replid is None:  # ROLE
+        self.last_learnt_at = now
+        last_answer = self.places.get(member)
+        replid = status.replid
+        reborn = False
+        if replid is None:  # an answer to ROLE
             if (
-                place is None
-                or place.primary != standing.primary
-                or place.source != standing.source
-                or (standing.offset < place.offset and asked >= place.answered)
+                last_answer is None
+                or last_answer.primary != status.primary
+                or last_answer.source != status.source
+                or (status.offset < last_answer.offset and asked_at >= last_answer.answered_at)
             ):
                 return Fact(unsure=True)
-            replid = place.replid
-        elif place is not None:
-            fell = standing.offset < place.offset and asked >= place.answered
-            reborn = fell or (
-                place.replid in self.line and replid not in self.line and standing.replid2 != place.replid
+            replid = last_answer.replid
+        elif last_answer is not None:
+            offset_fell = status.offset < last_answer.offset and asked_at >= last_answer.answered_at
+            reborn = offset_fell or (
+                last_answer.replid in self.lineage
+                and replid not in self.lineage
+                and status.replid2 != last_answer.replid
             )
-        if standing.replid is not None or place is None or standing.offset >= place.offset:
-            followed = place.followed if place is not None else -math.inf
-            self.places[member] = _Place(
-                standing.primary,
-                standing.source,
+        if status.replid is not None or last_answer is None or status.offset >= last_answer.offset:
+            replica_at = last_answer.replica_at if last_answer is not None else -math.inf
+            self.places[member] = _LastAnswer(
+                status.primary,
+                status.source,
                 replid,
-                standing.offset,
+                status.offset,
                 now,
-                followed if standing.primary else max(followed, asked),
+                replica_at if status.primary else max(replica_at, asked_at),
             )
-        if standing.primary:
-            fact = self._primary(member, standing, replid, asked, now, waiting)
+        if status.primary:
+            fact = self._learn_primary(member, status, replid, asked_at, now, unanswered_since)
         else:
             if member == self.owner:
                 self.owner = None
             fact = Fact(
-                False, self.position(replid, standing.offset), offset=self.shared(replid, standing.offset)
+                False, self.position(replid, status.offset), offset=self.lineage_offset(replid, status.offset)
             )
         return Fact(fact.primary, fact.position, reborn, fact.unsure, fact.offset)
 
-    def _primary(
-        self, member: str, standing: Standing, replid: str, asked: float, now: float, waiting: float | None
+    def _learn_primary(
+        self,
+        member: str,
+        status: Standing,
+        replid: str,
+        asked_at: float,
+        now: float,
+        unanswered_since: float | None,
     ) -> Fact:
+        """Take in the answer of a member that says it is a primary, and return what it proves."""
         if replid != self.replid:
-            if replid in self.line and self.replid is not None:
+            if replid in self.lineage and self.replid is not None:
                 return Fact(
                     False,
-                    self.position(replid, standing.offset),  # superseded
-                    offset=self.shared(replid, standing.offset),
+                    self.position(replid, status.offset),  # its history is superseded
+                    offset=self.lineage_offset(replid, status.offset),
                 )
-            if not self._succeed(member, standing, replid, now):
-                return Fact(False)  # a second line while the first one lives: nobody's primary
-        elif self.owner not in (None, member) and now - self.owner_heard < OWNER_SILENT:
-            pass  # same history told by two: a hand-over; the later answer counts
-        last = self.offsets[-1] if self.offsets else -1
-        if standing.offset > last:
-            self.moved = asked
-        self.owner, self.owner_heard = member, now
-        self._sample(asked, standing.offset)
-        if waiting is not None and waiting < asked and standing.offset <= last:
-            return Fact(True, max(waiting, self.moved), offset=standing.offset)
-        return Fact(True, asked, offset=standing.offset)
-
-    def _succeed(self, member: str, standing: Standing, replid: str, now: float) -> bool:
-        """A primary tells a history that is not the newest: go over to it, or not."""
-        if self.replid is not None and standing.replid2 == self.replid:
-            fork = standing.second_offset - 1
-            for old in self.line:
-                self.line[old] = min(self.line[old], fork)
-            self.offsets = [min(offset, fork) for offset in self.offsets]
-            # the old primary may have gone on without knowing: its word counts up to when the new one still followed
-            place = self.places.get(member)
-            valid = bisect_right(self.times, place.followed if place is not None else -math.inf)
-            del self.times[valid:], self.offsets[valid:]
-            self._thin()
-        elif self.replid is not None and standing.replid2 in self.line:
-            return False  # a branch of an older history beside the newest
+            if not self._succeed(member, status, replid, now):
+                return Fact(False)  # its lineage is another one, and the known primary is alive
+        elif self.owner not in (None, member) and now - self.owner_heard_at < PRIMARY_SILENCE_TIMEOUT:
+            pass  # two members claim the same history: it was handed over, and the later answer counts
+        newest_offset = self.sample_offsets[-1] if self.sample_offsets else -1
+        if status.offset > newest_offset:
+            self.offset_advanced_at = asked_at
+        self.owner = member
+        self.owner_heard_at = now
+        self._add_sample(asked_at, status.offset)
+        if unanswered_since is not None and unanswered_since < asked_at and status.offset <= newest_offset:
+            return Fact(True, max(unanswered_since, self.offset_advanced_at), offset=status.offset)
+        return Fact(True, asked_at, offset=status.offset)
+
+    def _succeed(self, member: str, status: Standing, replid: str, now: float) -> bool:
+        """Make the history that a primary reports the newest one, if that is right; return whether it was done.
+
+        It is right if the history branched off from the newest. It also is if the history is unrelated to the lineage
+        and the known primary has not answered for `PRIMARY_SILENCE_TIMEOUT`; the lineage then begins again.
+        """
+        if self.replid is not None and status.replid2 == self.replid:
+            fork = status.second_offset - 1
+            for older in self.lineage:
+                self.lineage[older] = min(self.lineage[older], fork)
+            self.sample_offsets = [min(offset, fork) for offset in self.sample_offsets]
+            # The old primary may have taken writes without knowing of the new one, so its samples are valid only up to
+            # the time at which the new one was still a replica.
+            last_answer = self.places.get(member)
+            valid_count = bisect_right(
+                self.sample_times, last_answer.replica_at if last_answer is not None else -math.inf
+            )
+            del self.sample_times[valid_count:], self.sample_offsets[valid_count:]
+            self._drop_repeated_offsets()
+        elif self.replid is not None and status.replid2 in self.lineage:
+            return False  # it branched off from an older history, beside the newest
         else:
-            if self.owner not in (None, member) and now - self.owner_heard < OWNER_SILENT:
+            if self.owner not in (None, member) and now - self.owner_heard_at < PRIMARY_SILENCE_TIMEOUT:
                 return False
-            self.past.update(dict.fromkeys(self.line))
-            keep_last(self.past)
-            self.line, self.times, self.offsets = {}, [], []
-        self.line[replid] = 2**62
+            self.former_histories.update(dict.fromkeys(self.lineage))
+            drop_oldest_histories(self.former_histories)
+            self.lineage = {}
+            self.sample_times = []
+            self.sample_offsets = []
+        self.lineage[replid] = 2**62
         self.replid = replid
         return True
 
-    def _thin(self) -> None:
-        """After offsets were cut to a fork, only the latest time of each offset says something."""
-        pairs = dict(zip(self.offsets, self.times, strict=True))
-        self.offsets, self.times = list(pairs), list(pairs.values())
-
-    def _sample(self, asked: float, offset: int) -> None:
-        times, offsets = self.times, self.offsets
-        place = bisect_right(times, asked)
-        if place < len(times) and offsets[place] <= offset:
-            return  # asked later, and no further on: it says all of this and more
-        while place and offsets[place - 1] >= offset:
-            place -= 1
-            del times[place], offsets[place]
-        if place and times[place - 1] == asked:
-            return  # the lower offset of the same moment says more
-        if place == len(times) and place > 1 and asked - times[-2] < SPACING:
-            times[-1], offsets[-1] = asked, offset
+    def _drop_repeated_offsets(self) -> None:
+        """Keep only the latest sample of each offset, as the others say nothing after offsets were cut to a fork."""
+        latest_times = dict(zip(self.sample_offsets, self.sample_times, strict=True))
+        self.sample_offsets = list(latest_times)
+        self.sample_times = list(latest_times.values())
+
+    def _add_sample(self, asked_at: float, offset: int) -> None:
+        """Add a sample to the frontier, and drop the samples that it dominates."""
+        times = self.sample_times
+        offsets = self.sample_offsets
+        index = bisect_right(times, asked_at)
+        if index < len(times) and offsets[index] <= offset:
+            return  # the next sample was asked later and is no further on, so it says more
+        while index and offsets[index - 1] >= offset:
+            index -= 1
+            del times[index], offsets[index]
+        if index and times[index - 1] == asked_at:
+            return  # of two samples of the same time the one with the lower offset says more
+        if index == len(times) and index > 1 and asked_at - times[-2] < MIN_SAMPLE_SPACING:
+            times[-1] = asked_at
+            offsets[-1] = offset
             return
-        times.insert(place, asked)
-        offsets.insert(place, offset)
-        if len(times) > SAMPLES:
-            del times[: SAMPLES // 4], offsets[: SAMPLES // 4]
-
-    def shared(self, replid: str, offset: int) -> int | None:
-        """How far a member at `offset` of `replid` has got on the line; None if it is not of the line."""
-        limit = self.line.get(replid)
+        times.insert(index, asked_at)
+        offsets.insert(index, offset)
+        if len(times) > MAX_SAMPLES:
+            del times[: MAX_SAMPLES // 4], offsets[: MAX_SAMPLES // 4]
+
+    def lineage_offset(self, replid: str, offset: int) -> int | None:
+        """Offset in the lineage of a member at `offset` of `replid`; None if that history is not part of it."""
+        limit = self.lineage.get(replid)
         return None if limit is None else min(offset, limit)
 
     def position(self, replid: str, offset: int) -> float | None:
-        """The time up to which it has every commit, None if nothing is proven."""
-        shared = self.shared(replid, offset)
-        if shared is None:
+        """Time up to which a member at `offset` of `replid` has every commit; None if nothing is proven."""
+        lineage_offset = self.lineage_offset(replid, offset)
+        if lineage_offset is None:
             return None
-        place = bisect_right(self.offsets, shared)
-        return self.times[place - 1] if place else None
+        index = bisect_right(self.sample_offsets, lineage_offset)
+        return self.sample_times[index - 1] if index else None
 
     def place(self, member: str) -> tuple[float | None, int | None]:
-        """Position and offset on the line that the member's last answer proves by the samples known now."""
-        place = self.places.get(member)
-        if place is None:
+        """Position and lineage offset that a member's last answer proves by the samples known now."""
+        last_answer = self.places.get(member)
+        if last_answer is None:
             return None, None
-        return self.position(place.replid, place.offset), self.shared(place.replid, place.offset)
+        return (
+            self.position(last_answer.replid, last_answer.offset),
+            self.lineage_offset(last_answer.replid, last_answer.offset),
+        )
 
     def seen(self, member: str, offset: int | None, at: float) -> Seen:
-        """The mark of a write that this member acknowledged, or a read that it served, at `at`, being at `offset`
-        after the write or before the read."""
-        place = self.places.get(member)
-        if offset is None or place is None or place.replid != self.replid:
+        """Return the mark for a write that a member acknowledged at `at`, or for a read that it served then.
+
+        `offset` is the member's offset after the write or before the read.
+        """
+        last_answer = self.places.get(member)
+        if offset is None or last_answer is None or last_answer.replid != self.replid:
             return Seen(at)
-        return Seen(at, place.replid, offset)
+        return Seen(at, last_answer.replid, offset)
 
     def join(self, one: Seen, other: Seen, now: float) -> Seen:
-        """A mark that holds both. What the line has gone on from is held by what is of its newest history."""
+        """Return a mark that covers both.
+
+        A mark in the newest history covers what marks in older histories of the lineage cover, so these are left out.
+        A mark of too many histories becomes one of the present, which covers them all.
+        """
         parts: dict[str | None, Seen] = {}
-        for seen in (*one.parts(), *other.parts()):
-            known = parts.get(seen.replid)
-            if known is None or (seen.offset, seen.at) > (known.offset, known.at):
-                parts[seen.replid] = seen
+        for mark in (*one.parts(), *other.parts()):
+            known = parts.get(mark.replid)
+            if known is None or (mark.offset, mark.at) > (known.offset, known.at):
+                parts[mark.replid] = mark
         if self.replid in parts:
             parts = {
-                replid: seen
-                for replid, seen in parts.items()
-                if replid in (self.replid, None) or (replid not in self.line and replid not in self.past)
+                replid: mark
+                for replid, mark in parts.items()
+                if replid in (self.replid, None)
+                or (replid not in self.lineage and replid not in self.former_histories)
             }
-        if len(parts) > MARKS:
+        if len(parts) > MAX_MARK_HISTORIES:
             return Seen(now)
         first, *rest = parts.values()
         return Seen(first.at, first.replid, first.offset, tuple(rest))
 
-    def floor(self, seen: Seen, now: float) -> float:
-        """A time such that who stands there has, as far as known, what `seen` marks; `now` if it can't be told."""
-        if seen.also:
-            return max(self.floor(part, now) for part in seen.parts())
-        shared = self.shared(seen.replid, seen.offset) if seen.replid is not None else None
-        if shared is None:
-            return min(seen.at, now)
-        place = bisect_right(self.offsets, shared - 1)
-        return min(seen.at, self.times[place] if place < len(self.times) else now)
+    def floor(self, mark: Seen, now: float) -> float:
+        """Position at which a member has all that a mark covers, as far as known; `now` if that is unknown."""
+        if mark.also:
+            return max(self.floor(part, now) for part in mark.parts())
+        lineage_offset = self.lineage_offset(mark.replid, mark.offset) if mark.replid is not None else None
+        if lineage_offset is None:
+            return min(mark.at, now)
+        index = bisect_right(self.sample_offsets, lineage_offset - 1)
+        return min(mark.at, self.sample_times[index] if index < len(self.sample_times) else now)
 
     def meet(self, replid: str, now: float) -> bool:
-        """A session shows a mark of this history. True if no member has told of it: then it may be newer than all that
-        they told, and for `OWNER_SILENT` no time proves that it is held. After that it counts as lost."""
-        if replid in self.line or replid in self.past:
+        """Record that a session has a mark of this history; return whether the history may be newer than all known.
+
+        That is so if no member has reported it. For `PRIMARY_SILENCE_TIMEOUT` no time then proves that a member has
+        what the mark covers. After that the history counts as lost.
+        """
+        if replid in self.lineage or replid in self.former_histories:
             return False
-        self.heard = now
-        self.strangers.setdefault(replid, now)
-        keep_last(self.strangers)
-        return now - self.strangers[replid] < OWNER_SILENT
-
-    def covers(self, fact: Fact, seen: Seen) -> bool:
-        """Whether what `fact` proves holds what `seen` marks."""
-        if seen.also:
-            return all(self.covers(fact, part) for part in seen.parts())
-        strange = (
-            self.strangers.get(seen.replid or "", -math.inf) if seen.replid not in self.line else -math.inf
+        self.last_learnt_at = now
+        self.unknown_histories.setdefault(replid, now)
+        drop_oldest_histories(self.unknown_histories)
+        return now - self.unknown_histories[replid] < PRIMARY_SILENCE_TIMEOUT
+
+    def covers(self, fact: Fact, mark: Seen) -> bool:
+        """Whether a member has all that a mark covers, by what `fact` proves of the member."""
+        if mark.also:
+            return all(self.covers(fact, part) for part in mark.parts())
+        unknown_since = (
+            self.unknown_histories.get(mark.replid or "", -math.inf)
+            if mark.replid not in self.lineage
+            else -math.inf
         )
-        if fact.position is not None and fact.position > seen.at and self.heard - strange >= OWNER_SILENT:
-            return True  # later than `at`: a sample of that very moment may be older
-        if fact.offset is None or seen.replid is None:
+        if (
+            fact.position is not None
+            and fact.position > mark.at  # not equal: a sample of that very time may be older
+            and self.last_learnt_at - unknown_since >= PRIMARY_SILENCE_TIMEOUT
+        ):
+            return True
+        if fact.offset is None or mark.replid is None:
             return False
-        limit = self.line.get(seen.replid)
-        return limit is not None and seen.offset <= limit and fact.offset >= seen.offset
+        limit = self.lineage.get(mark.replid)
+        return limit is not None and mark.offset <= limit and fact.offset >= mark.offset
 
-    def holds(self, member: str, seen: Seen) -> bool:
-        """Whether the member's last answer proves that it has the write that `seen` marks."""
+    def holds(self, member: str, mark: Seen) -> bool:
+        """Whether a member's last answer proves that it has all that a mark covers."""
         position, offset = self.place(member)
-        return self.covers(Fact(False, position, offset=offset), seen)
+        return self.covers(Fact(False, position, offset=offset), mark)
 
     def forget(self, member: str) -> None:
+        """Forget what a member said last, and that it is the primary."""
         self.places.pop(member, None)
         if self.owner == member:
             self.owner = None
--- a/banklift/decide/queues.py
+++ b/banklift/decide/queues.py
@@ -1,9 +1,9 @@
-"""How much may be open in a router: bounds by group and class, and what a client hears that comes when one is reached.
+"""Admission limits of a router: how many requests may be pending, by group and class, and when refused ones may retry.
 
-Theory of operation. What is open waits for members, and waiting work costs memory and helps nobody once there is more
-than its group can answer in time. Each class may have `most` requests open in each group; one that comes on top is
-refused at once, so one class or group that has stopped being answered takes nothing from the others. It hears when to
-come back: after the time in which, at the rate at which this class was last answered there, half of the queue is gone.
+Pending requests wait for members. They cost memory, and more of them than a group can answer in time help nobody. Each
+class may have `max_pending` requests pending in each group; one more is refused at once. So a class or group that is no
+longer answered takes nothing from the others. A refused client is told to retry after the time in which half of the
+queue is answered, at the rate at which the group last answered this class.
 """
 
 from __future__ import annotations
@@ -11,47 +11,56 @@
 import math
 from dataclasses import dataclass
 
-SPAN = 1.0  # seconds over which the rate of endings is smoothed
-LEAST = 0.05  # seconds until a client may come back, at the least
+RATE_SPAN = 1.0  # seconds: time constant over which the rate of answers is smoothed
+MIN_RETRY_AFTER = 0.05  # seconds
 
 
 @dataclass(slots=True)
 class Queue:
-    open: int = 0
-    rate: float = 0.0  # endings a second, as of ...
-    rated: float = 0.0
-    full: int = 0  # how often one was refused
+    """Pending requests of one class in one group."""
+
+    pending: int = 0
+    end_rate: float = 0.0  # requests ended a second, as of `end_rate_at`
+    end_rate_at: float = 0.0  # clock time
+    refusals: int = 0  # requests that found the queue full
 
     def ended(self, now: float) -> None:
-        self.open -= 1
-        self.rate = self.rate * math.exp((self.rated - now) / SPAN) + 1 / SPAN
-        self.rated = now
+        """Record that a request ended at the clock time `now`."""
+        self.pending -= 1
+        self.end_rate = self.end_rate * math.exp((self.end_rate_at - now) / RATE_SPAN) + 1 / RATE_SPAN
+        self.end_rate_at = now
 
 
 class Queues:
-    """`most`: requests of one class open in one group; `longest`: seconds that a client is told to wait, at most."""
+    """The queues of all groups and classes of a router.
+
+    `max_pending` limits the pending requests of one class in one group; `max_retry_after` limits the delay, in
+    seconds, that a refused client is told.
+    """
 
-    def __init__(self, most: int, longest: float) -> None:
-        self.most, self.longest = most, longest
+    def __init__(self, max_pending: int, max_retry_after: float) -> None:
+        self.max_pending = max_pending
+        self.max_retry_after = max_retry_after
         self.queues: dict[tuple[int, str], Queue] = {}
 
-    def enter(self, group: int, kind: str, now: float) -> float | None:
-        """Take one more in. None if it may come in; else the seconds after which it may try again."""
-        queue = self.queues.get((group, kind))
+    def enter(self, group: int, class_name: str, now: float) -> float | None:
+        """Admit one more request and return None, or refuse it and return the seconds after which it may retry."""
+        queue = self.queues.get((group, class_name))
         if queue is None:
-            queue = self.queues[group, kind] = Queue(rated=now)
-        if queue.open < self.most:
-            queue.open += 1
+            queue = self.queues[group, class_name] = Queue(end_rate_at=now)
+        if queue.pending < self.max_pending:
+            queue.pending += 1
             return None
-        queue.full += 1
-        rate = queue.rate * math.exp((queue.rated - now) / SPAN)
-        wait = self.most / 2 / rate if rate > 0 else math.inf
-        return min(self.longest, max(LEAST, wait))
-
-    def adopt(self, most: int, longest: float) -> None:
-        """Other bounds from now on; what is open stays."""
-        self.most, self.longest = most, longest
-
-    def leave(self, group: int, kind: str, now: float) -> None:
-        """One that came in has ended."""
-        self.queues[group, kind].ended(now)
+        queue.refusals += 1
+        rate = queue.end_rate * math.exp((queue.end_rate_at - now) / RATE_SPAN)
+        retry_after = self.max_pending / 2 / rate if rate > 0 else math.inf
+        return min(self.max_retry_after, max(MIN_RETRY_AFTER, retry_after))
+
+    def adopt(self, max_pending: int, max_retry_after: float) -> None:
+        """Change the limits; requests that are pending stay."""
+        self.max_pending = max_pending
+        self.max_retry_after = max_retry_after
+
+    def leave(self, group: int, class_name: str, now: float) -> None:
+        """Record that a request that was admitted has ended."""
+        self.queues[group, class_name].ended(now)
--- a/banklift/interface.py
+++ b/banklift/interface.py
@@ -97,7 +97,7 @@
 class Settings:
     """What a balancer knows of its site from the start. Durations are seconds.
 
-    No decision depends so far on tenants, over_share_worth, parallel_tries, lists_roles, check_wait,
+    No decision of the balancer depends so far on tenants, over_share_worth, parallel_tries, lists_roles, check_wait,
     answers_carry_position, drain_grace, fall_time and answer_slack.
 
     Raises `ValueError` with the name of the field if a value makes no sense.
@@ -120,9 +120,7 @@
     reports_load: bool = True  # reports say how many requests a member has
     answers_carry_position: bool = False  # answers to writes carry the position of their commit
     client_tokens: bool = False  # session reads say how long ago their session wrote
-    drain_grace: float = (
-        1.0  # time after the list tells of a drain within which a member may still get requests
-    )
+    drain_grace: float = 1.0  # time after the list tells of a drain until nothing may reach the member
     only_draining_binds: bool = False  # a member that left the list without draining may still be tried
     cold_share: float = 1.0  # fraction of its capacity that a member has when it starts
     cold_time: float = 0.0  # time in which a member warms up to its full capacity
--- a/tests/test_offsets.py
+++ b/tests/test_offsets.py
@@ -5,7 +5,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from banklift.decide.offsets import HISTORIES, MARKS, OWNER_SILENT, Fact, Seen, Standing, Track
+from banklift.decide.offsets import (
+    MAX_KNOWN_HISTORIES,
+    MAX_MARK_HISTORIES,
+    PRIMARY_SILENCE_TIMEOUT,
+    Fact,
+    Seen,
+    Standing,
+    Track,
+)
 
 A, B, C = "a" * 40, "b" * 40, "c" * 40
 
@@ -43,7 +51,9 @@
     position = track.position(A, applied)
     if position is not None:
         assert applied >= log(position - 1e-9)  # all commits before that time
-    assert track.times == sorted(set(track.times)) and track.offsets == sorted(set(track.offsets))
+    assert track.sample_times == sorted(set(track.sample_times)) and track.sample_offsets == sorted(
+        set(track.sample_offsets)
+    )
 
 
 def test_an_idle_primary_keeps_replicas_current() -> None:
@@ -58,9 +68,11 @@
     track.learn("p", primary(100), 1.0, 1.0)
     assert track.learn("p", primary(100), 5.0, 5.0).position == 5.0
     assert (
-        track.learn("p", primary(100), 6.0, 6.0, waiting=5.1).position == 5.1
+        track.learn("p", primary(100), 6.0, 6.0, unanswered_since=5.1).position == 5.1
     )  # a write went in, nothing came out
-    assert track.learn("p", primary(120), 7.0, 7.0, waiting=5.1).position == 7.0  # it moves: busy, not hung
+    assert (
+        track.learn("p", primary(120), 7.0, 7.0, unanswered_since=5.1).position == 7.0
+    )  # it moves: busy, not hung
 
 
 def test_a_promotion_cuts_the_old_line_at_the_fork() -> None:
@@ -83,7 +95,7 @@
     assert track.learn("x", replica(1000, C), 1.0, 1.0).position is None
     second = track.learn("y", primary(1000, C), 1.1, 1.1)
     assert second.primary is False  # two lines at once: the one known first stays while its primary is heard
-    after = 1.1 + OWNER_SILENT + 1
+    after = 1.1 + PRIMARY_SILENCE_TIMEOUT + 1
     assert track.learn("y", primary(1000, C), after, after).primary is True
     assert track.learn("p", primary(100), after, after).primary is False
 
@@ -162,7 +174,9 @@
     )
     lost = Track()
     lost.learn("p", Standing(True, 100, replid=A), 1.0, 1.01)
-    assert lost.meet(B, 2.0) and not lost.meet(B, 2.0 + OWNER_SILENT)  # nobody ever told: it is gone
+    assert lost.meet(B, 2.0) and not lost.meet(
+        B, 2.0 + PRIMARY_SILENCE_TIMEOUT
+    )  # nobody ever told: it is gone
     late = lost.learn("p", Standing(True, 100, replid=A), 9.0, 9.01)
     assert lost.covers(late, mark)
 
@@ -172,7 +186,7 @@
     track.learn("p", Standing(True, 100, replid=A), 1.0, 1.01)
     for number in range(1000):
         track.meet(f"{number:040x}", 2.0)
-    assert len(track.strangers) <= HISTORIES
+    assert len(track.unknown_histories) <= MAX_KNOWN_HISTORIES
 
 
 def test_a_mark_of_two_histories_is_held_by_who_holds_both() -> None:
@@ -193,7 +207,7 @@
 
 def test_a_mark_of_too_many_histories_is_one_of_now() -> None:
     track, mark = Track(), Seen(1.0, A, 1)
-    for number in range(MARKS):
+    for number in range(MAX_MARK_HISTORIES):
         mark = track.join(mark, Seen(1.0, f"{number:040x}", 1), 7.0)
     assert mark == Seen(7.0)
 
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from banklift.config import build
-from banklift.decide.queues import LEAST, Queues
+from banklift.decide.queues import MIN_RETRY_AFTER, Queues
 from banklift.proxy import events as ev
 from banklift.proxy.timers import FEW, Timer, Timers
 from banklift.resp.frames import command
@@ -69,7 +69,7 @@
     assert queues.enter(0, "pick", 1.0) is None and queues.enter(1, "note", 1.0) is None
     queues.leave(0, "note", 1.0)
     assert queues.enter(0, "note", 1.0) is None
-    assert queues.queues[0, "note"].full == 1
+    assert queues.queues[0, "note"].refusals == 1
 
 
 def test_who_finds_a_queue_full_comes_back_when_half_of_it_is_gone() -> None:
@@ -89,7 +89,7 @@
     for number in range(100):
         quick.leave(0, "note", number / 1000)
         quick.enter(0, "note", number / 1000)
-    assert quick.enter(0, "note", 0.1) == LEAST
+    assert quick.enter(0, "note", 0.1) == MIN_RETRY_AFTER
 
 
 def test_a_full_queue_refuses_at_once_and_tells_when_to_come_back() -> None:
@@ -139,7 +139,7 @@
     assert not machine.open and not machine.flying and not machine.balancer.requests
     assert not any(group.held.values()) and not group.hold_ends
     assert all(node.queued == 0 and not any(node.waiting.values()) for node in machine.nodes.values())
-    assert all(queue.open == 0 for queue in machine.queues.queues.values())
+    assert all(queue.pending == 0 for queue in machine.queues.queues.values())
     assert len(machine.front.clients) == 1  # type: ignore[attr-defined]
     assert not machine.front.places  # type: ignore[attr-defined]
     rig.wait(10.0)
@@ -204,4 +204,4 @@
 
 def test_settings_of_queues_come_from_the_file() -> None:
     rig = Rig(queue=7)
-    assert rig.machine.queues.most == 7 and build.machine(rig.config, 1).queues.most == 7
+    assert rig.machine.queues.max_pending == 7 and build.machine(rig.config, 1).queues.max_pending == 7
