--- a/banklift/__init__.py
+++ b/banklift/__init__.py
@@ -1,4 +1,7 @@
-"""The decisions of a proxy in front of a primary and its replicas, as a library without I/O."""
+"""Routing decisions of a database proxy in front of primaries and their replicas, as a library without I/O.
+
+`Balancer` takes events and returns actions; `banklift.interface` describes both.
+"""
 
 from banklift.balance import Balancer
 from banklift.interface import (
--- a/banklift/adapter.py
+++ b/banklift/adapter.py
@@ -1,6 +1,7 @@
-"""Hosts balancers on the bench's wire: lines of JSON in on standard input, lines out on standard output.
+"""Hosts balancers for the simulator: batches of events as lines of JSON on standard input, actions on standard output.
 
-Nothing is decided here. Run it as `python -m banklift.adapter`.
+It translates between the simulator's wire and `banklift.interface` and decides nothing. Run it as
+`python -m banklift.adapter`. It exits with code 2 at the first malformed line, which it names on standard error.
 """
 
 from __future__ import annotations
@@ -41,6 +42,7 @@
     Watch,
 )
 
+# The wire's words for the values of `banklift.interface`.
 EFFECTS = {"retryable": Effect.SAFE, "dedup": Effect.KEYED, "fragile": Effect.UNSAFE}
 NEEDS = {
     "update": Need.WRITE,
@@ -67,7 +69,8 @@
     254: Status.FULL,
     255: Status.ERROR,
 }
-WIDTHS = {
+# Least number of elements of each event, its name included.
+EVENT_WIDTHS = {
     "begin": 4,
     "backends_changed": 5,
     "submit": 11,
@@ -86,34 +89,39 @@
 
 
 class WireError(Exception):
-    """A line that breaks the wire's rules; the text names the fault."""
+    """A line that breaks the rules of the wire; the text names the fault."""
 
 
 def number(value: Any, what: str) -> float:
+    """Return a number below 1e300; raise `WireError` naming `what` for anything else."""
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not abs(value) < 1e300:
         raise WireError(f"{what}: a number is needed, not {value!r}")
     return float(value)
 
 
 def integer(value: Any, what: str) -> int:
+    """Return a whole number from 0; raise `WireError` naming `what` for anything else."""
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
         raise WireError(f"{what}: a whole number from 0 is needed, not {value!r}")
     return int(value)
 
 
 def text(value: Any, what: str) -> str:
+    """Return a string; raise `WireError` naming `what` for anything else."""
     if not isinstance(value, str):
         raise WireError(f"{what}: a text is needed, not {value!r}")
     return value
 
 
-def pick(table: dict[Any, T], value: Any, what: str) -> T:
+def look_up(table: dict[Any, T], value: Any, what: str) -> T:
+    """Return what a word or code of the wire stands for; raise `WireError` naming `what` for an unknown one."""
     if isinstance(value, bool) or not isinstance(value, (int, str)) or value not in table:
         raise WireError(f"{what}: unknown value {value!r}")
     return table[value]
 
 
 def section(info: dict[str, Any], name: str) -> dict[str, Any]:
+    """Return an object inside the settings, empty if it is absent; raise `WireError` if it is something else."""
     value = info.get(name) or {}
     if not isinstance(value, dict):
         raise WireError(f"boot_info.{name}: an object is needed, not {value!r}")
@@ -121,18 +129,24 @@
 
 
 def parse_settings(info: Any) -> Settings:
+    """Read the settings of one balancer, as the event `begin` carries them.
+
+    Raises `WireError` for values of the wrong type, `KeyError` for a missing key and `ValueError` for settings that
+    `Settings` refuses.
+    """
     if not isinstance(info, dict):
         raise WireError(f"boot_info: an object is needed, not {info!r}")
     allowed, rules, family = (section(info, name) for name in ("allowed", "rules", "family_info"))
 
-    def figure(table: dict[str, Any], name: str, default: float, place: str = "") -> float:
-        """A setting that is absent or null has its default."""
+    def optional_number(table: dict[str, Any], name: str, default: float, prefix: str = "") -> float:
+        """Return a setting, or its default if it is absent or null."""
         value = table.get(name)
-        return default if value is None else number(value, place + name)
+        return default if value is None else number(value, prefix + name)
 
-    def count(table: dict[str, Any], name: str, default: int, place: str = "") -> int:
+    def optional_integer(table: dict[str, Any], name: str, default: int, prefix: str = "") -> int:
+        """Return a whole number from 0, or its default if it is absent or null."""
         value = table.get(name)
-        return default if value is None else integer(value, place + name)
+        return default if value is None else integer(value, prefix + name)
 
     services = info.get("services") or []
     needs, bounds = family.get("class_read") or [], family.get("staleness_bound_s") or []
@@ -141,15 +155,15 @@
     classes = tuple(
         RequestClass(
             name=text(service["name"], "services.name"),
-            effect=pick(EFFECTS, service["semantics"], "services.semantics"),
-            need=pick(NEEDS, need, "family_info.class_read"),
+            effect=look_up(EFFECTS, service["semantics"], "services.semantics"),
+            need=look_up(NEEDS, need, "family_info.class_read"),
             aim=number(service["aim_s"], "services.aim_s"),
             deadline=number(service["deadline_s"], "services.deadline_s"),
-            worth=figure(service, "points", 1.0, "services."),
-            late_worth=figure(service, "late_worth", 0.0, "services."),
+            worth=optional_number(service, "points", 1.0, "services."),
+            late_worth=optional_number(service, "late_worth", 0.0, "services."),
             bound=number(0.0 if bound is None else bound, "family_info.staleness_bound_s"),
-            aim_stretch=figure(service, "aim_stretch", 0.0, "services."),
-            window=figure(service, "window_s", 0.0, "services."),
+            aim_stretch=optional_number(service, "aim_stretch", 0.0, "services."),
+            window=optional_number(service, "window_s", 0.0, "services."),
             group_only=(service.get("group") or "all") != "all",
             streamed=bool(service.get("streamed", False)),
         )
@@ -158,8 +172,8 @@
     tenants = tuple(
         Tenant(
             name=text(tenant["name"], "tenants.name"),
-            quota=figure(tenant, "quota_per_s", 0.0, "tenants."),
-            share=figure(tenant, "share", 0.0, "tenants."),
+            quota=optional_number(tenant, "quota_per_s", 0.0, "tenants."),
+            share=optional_number(tenant, "share", 0.0, "tenants."),
         )
         for tenant in info.get("tenants") or []
     )
@@ -167,33 +181,35 @@
     return Settings(
         classes=classes,
         tenants=tenants,
-        balancers=max(1, count(info, "balancers", 1)),
-        over_share_worth=figure(info, "over_share_worth", 1.0),
-        max_attempts=count(allowed, "max_attempts", 1, "allowed."),
+        balancers=max(1, optional_integer(info, "balancers", 1)),
+        over_share_worth=optional_number(info, "over_share_worth", 1.0),
+        max_attempts=optional_integer(allowed, "max_attempts", 1, "allowed."),
         parallel_tries=bool(allowed.get("parallel_tries", False)),
         may_cancel=bool(allowed.get("may_cancel", False)),
         may_probe=bool(allowed.get("probing", False)),
-        max_retry_after=figure(allowed, "max_retry_after_s", 0.0) if allowed.get("retry_after") else 0.0,
+        max_retry_after=optional_number(allowed, "max_retry_after_s", 0.0)
+        if allowed.get("retry_after")
+        else 0.0,
         must_ask=info.get("membership_mode") == "subscribe",
-        ask_within=figure(rules, "ask_within_s", 0.0),
+        ask_within=optional_number(rules, "ask_within_s", 0.0),
         lists_roles=(family.get("role_in_list") or "off") != "off",
         members_check=(family.get("behind") or "off") != "off",
-        check_wait=figure(family, "wait_s", 0.0),
+        check_wait=optional_number(family, "wait_s", 0.0),
         reports_load=reports_load(info),
         answers_carry_position=bool(family.get("stamps", False)),
         client_tokens=family.get("token_mode") == "client",
-        drain_grace=figure(rules, "drain_grace_s", 0.0),
+        drain_grace=optional_number(rules, "drain_grace_s", 0.0),
         only_draining_binds=bool(rules.get("dropped_stay_open", False)),
-        cold_share=figure(rules, "cold_share", 1.0),
-        cold_time=figure(rules, "cold_s", 0.0),
-        fall_multiple=figure(rules, "fall_multiple", 1.0),
-        fall_time=figure(rules, "fall_s", 0.0),
-        answer_slack=figure(rules, "grace_to_answer_s", 0.0),
+        cold_share=optional_number(rules, "cold_share", 1.0),
+        cold_time=optional_number(rules, "cold_s", 0.0),
+        fall_multiple=optional_number(rules, "fall_multiple", 1.0),
+        fall_time=optional_number(rules, "fall_s", 0.0),
+        answer_slack=optional_number(rules, "grace_to_answer_s", 0.0),
     )
 
 
 def reports_load(info: dict[str, Any]) -> bool:
-    """Whether the load reports of the settings hold a load; so it is taken where they say nothing on reports."""
+    """Whether reports of members contain their load; taken as so where the settings do not describe reports."""
     feedback = section(info, "feedback")
     fields = feedback.get("fields")
     if not feedback:
@@ -204,15 +220,16 @@
 
 
 def parse_entry(value: Any) -> Entry:
+    """Read one member of a list."""
     if not isinstance(value, list) or len(value) < 8:
         raise WireError(f"manifest: an entry of 8 values is needed, not {value!r}")
-    _weight, node, started, group, state, _kind, head, _zone = value[:8]
+    _weight, member, started, group, state, _kind, primary, _zone = value[:8]
     return Entry(
-        member=text(node, "manifest node"),
+        member=text(member, "manifest node"),
         group=integer(group, "manifest cluster"),
-        state=pick(STATES, state, "manifest state"),
+        state=look_up(STATES, state, "manifest state"),
         started=number(started, "manifest came_up_s") if started else None,
-        primary=bool(head),
+        primary=bool(primary),
     )
 
 
@@ -221,11 +238,11 @@
 
     def __init__(self) -> None:
         self.balancers: dict[int, Balancer] = {}
-        self.base_times: dict[int, float] = {}
-        self.lists: dict[int, tuple[Entry, ...]] = {}
+        self.base_times: dict[int, float] = {}  # seconds that are added to positions, by instance
+        self.lists: dict[int, tuple[Entry, ...]] = {}  # lists of members by their number on the wire
 
     def answer(self, line: str) -> str:
-        """The reply to one batch."""
+        """Process a batch of events and return the reply; raises `WireError` for a malformed line."""
         try:
             batch = json.loads(line)
         except ValueError as error:
@@ -235,17 +252,18 @@
         now = number(batch.get("at_time_s"), "at_time_s")
         decisions: list[list[Any]] = []
         for event in batch["input"]:
-            self.take(now, event, decisions)
+            self.process(now, event, decisions)
         return json.dumps({"decisions": decisions}, separators=(",", ":"))
 
-    def take(self, now: float, event: Any, decisions: list[list[Any]]) -> None:
+    def process(self, now: float, event: Any, decisions: list[list[Any]]) -> None:
+        """Process one event and append the resulting actions to `decisions`."""
         if not isinstance(event, list) or not event or not isinstance(event[0], str):
             raise WireError(f"an event is an array that starts with its name, not {event!r}")
         name = event[0]
-        if name not in WIDTHS:
+        if name not in EVENT_WIDTHS:
             raise WireError(f"unknown event {name!r}")
-        if len(event) < WIDTHS[name]:
-            raise WireError(f"{name}: {WIDTHS[name] - 1} values are needed, not {len(event) - 1}")
+        if len(event) < EVENT_WIDTHS[name]:
+            raise WireError(f"{name}: {EVENT_WIDTHS[name] - 1} values are needed, not {len(event) - 1}")
         if name == "manifest":
             if not isinstance(event[2], list):
                 raise WireError("manifest: elements must be an array")
@@ -267,77 +285,86 @@
         if instance not in self.balancers:
             raise WireError(f"{name}: instance {instance} has not begun")
         if name == "peer_data":
-            return  # balancers share nothing
+            return  # balancers exchange no data
         parsed: Event = getattr(self, f"parse_{name}")(event, self.base_times[instance], now)
         try:
             actions = self.balancers[instance].handle(now, parsed)
-        except Exception as error:  # the wire has a word for broken decision code
+        except Exception as error:  # the wire reports a failure of a balancer as an action of its own
             decisions.append(["exception", instance, f"{type(error).__name__}: {error}"])
             return
         for action in actions:
             decisions.append(ENCODERS[type(action)](instance, action))
 
-    def parse_backends_changed(self, event: list[Any], base: float, now: float) -> Listing:
-        kind = pick(LIST_KINDS, event[3], "backends_changed mode")
-        if kind is ListKind.FAILED:
-            return Listing(kind)
+    def parse_backends_changed(self, event: list[Any], base_time: float, now: float) -> Listing:
+        """Read the list of members."""
+        list_kind = look_up(LIST_KINDS, event[3], "backends_changed mode")
+        if list_kind is ListKind.FAILED:
+            return Listing(list_kind)
         bank = integer(event[2], "backends_changed bank")
         if bank not in self.lists:
             raise WireError(f"backends_changed: list {bank} was never sent")
-        return Listing(kind, self.lists[bank])
+        return Listing(list_kind, self.lists[bank])
 
-    def parse_submit(self, event: list[Any], base: float, now: float) -> Request:
-        _, _, op_id, kind, tenant, key, drop_dead, hint, group, token, bitmap = event[:11]
-        bits = integer(bitmap or 0, "submit bitmap")
+    def parse_submit(self, event: list[Any], base_time: float, now: float) -> Request:
+        """Read a new request."""
+        _, _, op_id, class_name, tenant, session, deadline, cost, group, token, bitmap = event[:11]
+        bits = integer(bitmap or 0, "submit bitmap")  # bit 0: the cost is known
         return Request(
             id=integer(op_id, "submit op_id"),
-            kind=text(kind, "submit kind"),
+            kind=text(class_name, "submit kind"),
             group=integer(group, "submit db_no"),
-            deadline=number(drop_dead, "submit drop_dead_s"),
+            deadline=number(deadline, "submit drop_dead_s"),
             tenant=text(tenant, "submit user_group") if tenant else None,
-            session=None if key is None else integer(key, "submit conn_key"),
+            session=None if session is None else integer(session, "submit conn_key"),
             since_write=number(token, "submit token_ms") / 1000 if token else None,
-            cost=number(hint, "submit weight_hint_s") if hint is not None and bits & 1 else None,
+            cost=number(cost, "submit weight_hint_s") if cost is not None and bits & 1 else None,
         )
 
-    def parse_opened(self, event: list[Any], base: float, now: float) -> StreamStarted:
+    def parse_opened(self, event: list[Any], base_time: float, now: float) -> StreamStarted:
+        """Read the start of a stream."""
         return StreamStarted(
             integer(event[2], "opened op_id"),
             integer(event[4], "opened attempt"),
             text(event[3], "opened node"),
         )
 
-    def parse_result(self, event: list[Any], base: float, now: float) -> Outcome:
-        _, _, op_id, status, settled, node, latency, attempt, note, usage = event[:10]
-        position, role = divmod(integer(note or 0, "result pos_role"), 4)
+    def parse_result(self, event: list[Any], base_time: float, now: float) -> Outcome:
+        """Read the end of an attempt."""
+        _, _, op_id, status, finished, member, latency, attempt, position_and_role, usage = event[:10]
+        # position in milliseconds since the base time, times 4, plus the role: 1 primary, 2 replica, 0 unknown
+        position, role = divmod(integer(position_and_role or 0, "result pos_role"), 4)
         return Outcome(
             request=integer(op_id, "result op_id"),
             attempt=integer(attempt, "result attempt"),
-            member=text(node, "result node"),
-            status=pick(STATUSES, status, "result status"),
-            finished=bool(settled),
+            member=text(member, "result node"),
+            status=look_up(STATUSES, status, "result status"),
+            finished=bool(finished),
             latency=number(latency, "result latency_s"),
             primary={1: True, 2: False}.get(role),
-            position=base + position / 1000 if position else None,
-            report=parse_report(usage, base),
+            position=base_time + position / 1000 if position else None,
+            report=parse_report(usage, base_time),
         )
 
-    def parse_lapsed(self, event: list[Any], base: float, now: float) -> Abandoned:
+    def parse_lapsed(self, event: list[Any], base_time: float, now: float) -> Abandoned:
+        """Read a client that left."""
         return Abandoned(integer(event[2], "lapsed op_id"))
 
-    def parse_reminder(self, event: list[Any], base: float, now: float) -> Timer:
+    def parse_reminder(self, event: list[Any], base_time: float, now: float) -> Timer:
+        """Read a timer that is due."""
         return Timer(integer(event[2], "reminder ctx"))
 
-    def parse_check_result(self, event: list[Any], base: float, now: float) -> Probed:
+    def parse_check_result(self, event: list[Any], base_time: float, now: float) -> Probed:
+        """Read the end of a probe."""
         return Probed(
             member=text(event[3], "check_result node"),
-            ok=pick(STATUSES, event[2], "check_result status") is Status.OK,
+            ok=look_up(STATUSES, event[2], "check_result status") is Status.OK,
             latency=number(event[4], "check_result latency_s"),
-            report=parse_report(event[5], base),
+            report=parse_report(event[5], base_time),
         )
 
 
-def parse_report(usage: Any, base: float) -> Report | None:
+def parse_report(usage: Any, base_time: float) -> Report | None:
+    """Read a member's report; `base_time` is added to its position. Unknown keys are ignored."""
     if usage is None:
         return None
     if not isinstance(usage, dict):
@@ -348,27 +375,29 @@
         if usage.get(name) is not None
     }
     return Report(
-        position=base + values["x0"] if "x0" in values else None,
+        position=base_time + values["x0"] if "x0" in values else None,
         primary=bool(values["x1"]) if "x1" in values else None,
         in_flight=values.get("outstanding"),
         queued=values.get("backlog"),
     )
 
 
+# The wire's form of each action, for the instance number and the action.
 ENCODERS: dict[type, Callable[[int, Any], list[Any]]] = {
-    Send: lambda i, a: ["assign", i, a.request, a.member, a.timeout],
-    Refuse: lambda i, a: ["busy", i, a.request, a.retry_after],
-    Fail: lambda i, a: ["abort", i, a.request],
-    Cancel: lambda i, a: ["stop_attempt", i, a.request, a.attempt],
-    Probe: lambda i, a: ["sound_out", i, a.member],
-    SetTimer: lambda i, a: ["wake_at", i, a.delay, a.token],
-    Watch: lambda i, a: ["track", i, True],
-    Fetch: lambda i, a: ["query_all", i],
-    Log: lambda i, a: ["remark", i, a.text],
+    Send: lambda instance, action: ["assign", instance, action.request, action.member, action.timeout],
+    Refuse: lambda instance, action: ["busy", instance, action.request, action.retry_after],
+    Fail: lambda instance, action: ["abort", instance, action.request],
+    Cancel: lambda instance, action: ["stop_attempt", instance, action.request, action.attempt],
+    Probe: lambda instance, action: ["sound_out", instance, action.member],
+    SetTimer: lambda instance, action: ["wake_at", instance, action.delay, action.token],
+    Watch: lambda instance, action: ["track", instance, True],
+    Fetch: lambda instance, action: ["query_all", instance],
+    Log: lambda instance, action: ["remark", instance, action.text],
 }
 
 
 def main(source: TextIO, sink: TextIO) -> int:
+    """Answer each line of `source` with a line on `sink`; return the exit code, 0 at the end, 2 on malformed input."""
     host = Host()
     for line in source:
         try:
