--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire codec: every message in, every action out, and what malformed input does."""
+"""The adapter: every event in, every action out, and malformed input."""
 
 import ast
 import io
@@ -48,12 +48,13 @@
 
 
 def reply(host: Host, now: float, *events: list[Any]) -> list[list[Any]]:
+    """Send a batch of events; return the actions."""
     decisions = json.loads(host.answer(json.dumps({"at_time_s": now, "input": events})))["decisions"]
     assert isinstance(decisions, list)
     return decisions
 
 
-def test_every_event_is_taken() -> None:
+def test_every_event_is_processed() -> None:
     host = Host()
     assert ["track", 3, True] in reply(host, 100.0, *START)
     reply(host, 100.1, ["check_result", 3, 0, "a:1", 0.001, {"x0": 95.05, "x1": 1}])
@@ -84,7 +85,7 @@
     assert host.balancers[3] is not first
 
 
-def test_every_action_has_its_word() -> None:
+def test_every_action_has_its_form_on_the_wire() -> None:
     actions = [
         Send(1, "a:1", 0.5),
         Refuse(1, 0.2),
@@ -109,7 +110,7 @@
     ]
 
 
-def test_broken_decision_code_is_the_wires_exception(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failing_balancer_is_reported_as_an_exception(monkeypatch: pytest.MonkeyPatch) -> None:
     host = Host()
     reply(host, 100.0, *START)
     monkeypatch.setattr(host.balancers[3], "handle", lambda now, event: 1 / 0)
@@ -139,7 +140,7 @@
 
 
 def test_the_adapter_needs_nothing_else() -> None:
-    """It starts where only the standard library is installed."""
+    """It starts with nothing installed but the standard library."""
     code = (
         "import sys, banklift.adapter; "
         "print([name for name in sys.modules if name.startswith('banklift.') or name in ('anyio', 'msgspec')])"
--- a/tests/test_adopt.py
+++ b/tests/test_adopt.py
@@ -1,4 +1,4 @@
-"""A policy that takes hold between two events: what is open, what waits and who is connected go on."""
+"""A policy that takes effect between two events: pending requests, queues and connections go on."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 
 def change(rig: Rig, **changes: object) -> Policy:
-    """The machine goes on under its file with these changes; the policy."""
+    """Apply the machine's own configuration with these changes; return the policy."""
     new = msgspec.structs.replace(policy.decode(policy.of(rig.config)), **changes)
     rig.tell(build.adopt(rig.config, new))
     return new
 
 
 def without(rig: Rig, name: str) -> dict[str, object]:
-    """Changes that take a class away; its routes go to the class of all other reads."""
-    kept = [kind for kind in rig.config.classes if kind.name != name]
+    """Changes that remove a class; its keys go to the class of all other reads."""
+    kept = [request_class for request_class in rig.config.classes if request_class.name != name]
     return {"classes": kept, "routes": [route for route in rig.config.routes if route.to != name]}
 
 
-def test_a_request_of_a_class_that_goes_away_is_answered() -> None:
+def test_a_request_of_a_removed_class_is_answered() -> None:
     rig = Rig()
     rig.ask("GET", "alert:1")
     link = rig.up("r:1")
     change(rig, **without(rig, "alert-check"))
-    assert "alert-check" in rig.machine.balancer.classes  # something of it is open
+    assert "alert-check" in rig.machine.balancer.classes  # a request of it is pending
     rig.tell(ev.LinkData(link, info(False, 5) + b"$1\r\nx\r\n"))
     assert rig.answer() == b"$1\r\nx\r\n"
     assert link not in rig.closed
@@ -38,9 +38,9 @@
     assert "alert-check" not in rig.machine.balancer.classes
 
 
-def test_a_held_write_of_a_class_that_goes_away_is_refused_in_its_own_time() -> None:
+def test_a_held_write_of_a_removed_class_is_refused_by_its_own_deadline() -> None:
     rig = Rig()
-    rig.offsets.clear()  # nobody answers probes, and the primary is gone
+    rig.offsets.clear()  # no member answers probes, and the primary is gone
     rig.tell(ev.Roster((ev.Listed("r", 0, "r:1"),)))
     rig.ask("SET", "note:1", "a")
     changes = without(rig, "note")
@@ -50,14 +50,16 @@
     assert not rig.machine.open
 
 
-def test_a_deadline_that_shrinks_holds_for_new_requests_only() -> None:
+def test_a_shorter_deadline_applies_to_new_requests_only() -> None:
     rig = Rig()
-    rig.ask("SET", "note:1", "a")  # 2 s
+    rig.ask("SET", "note:1", "a")  # its class has a deadline of 2 s
     link = rig.up("p:1")
     rig.tell(ev.ClientOpened(2))
     classes = [
-        msgspec.structs.replace(kind, aim=0.2, deadline=0.3) if kind.name == "note" else kind
-        for kind in rig.config.classes
+        msgspec.structs.replace(request_class, aim=0.2, deadline=0.3)
+        if request_class.name == "note"
+        else request_class
+        for request_class in rig.config.classes
     ]
     change(rig, classes=classes)
     rig.ask("SET", "note:2", "b", client=2)
@@ -67,7 +69,7 @@
     assert rig.answer(1) == b"+OK\r\n"
 
 
-def test_a_route_that_moves_counts_for_what_comes_after() -> None:
+def test_a_changed_route_applies_to_new_requests_only() -> None:
     rig = Rig()
     rig.ask("GET", "alert:1")
     assert rig.data_links("r:1") and not rig.data_links("p:1")  # any member may serve it
@@ -78,7 +80,7 @@
     assert rig.data_links("p:1")  # only the primary now
 
 
-def test_a_multi_is_taken_when_its_exec_comes() -> None:
+def test_a_transaction_is_routed_by_the_policy_at_its_exec() -> None:
     rig = Rig()
     rig.ask("MULTI")
     rig.ask("GET", "alert:1")
@@ -88,7 +90,7 @@
     assert rig.data_links("p:1") and not rig.data_links("r:1")
 
 
-def test_a_user_with_another_password_is_sent_away_when_answered() -> None:
+def test_a_user_whose_password_changed_is_disconnected_after_its_answer() -> None:
     rig = Rig()
     before = change(rig, users=[User(name="ann", password="one"), User(name="bob", password="b")])
     for client, name, password in ((1, "ann", "one"), (2, "bob", "b")):
@@ -161,9 +163,9 @@
         ),
     ],
 )
-def test_a_bad_policy_is_refused_with_its_place(text: bytes, reason: str) -> None:
-    found = policy.against(Rig().config, text, 1024)
-    assert any(one.startswith(reason) for one in found), found
+def test_an_invalid_policy_is_refused_with_the_place_of_the_fault(text: bytes, reason: str) -> None:
+    reasons = policy.against(Rig().config, text, 1024)
+    assert any(found.startswith(reason) for found in reasons), reasons
 
 
 def test_a_policy_cut_anywhere_is_refused() -> None:
@@ -174,7 +176,7 @@
         assert policy.against(rig.config, whole[:cut], 1024) != (), cut
 
 
-def test_clients_that_are_stated_have_to_fit_the_descriptors() -> None:
+def test_a_limit_of_clients_has_to_fit_the_descriptors_of_the_process() -> None:
     rig = Rig()
     stated = policy.encode(
         msgspec.structs.replace(policy.decode(policy.of(rig.config)), limits=Limits(clients=5000))
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -1,4 +1,4 @@
-"""The module by event sequences and expected actions, without the bench."""
+"""The balancer: sequences of events and the actions that it has to return."""
 
 import subprocess
 import sys
@@ -68,8 +68,8 @@
 MEMBERS = tuple(Entry(name, 1, primary=name == "p") for name in ("p", "r1", "r2", "r3"))
 
 
-class Bench:
-    """One balancer and a clock; keeps timers and numbers requests."""
+class Driver:
+    """Drives one balancer with a clock; runs its timers and numbers the requests."""
 
     def __init__(
         self, settings: Settings = SETTINGS, members: Iterable[Entry] = MEMBERS, seed: int = 7
@@ -78,18 +78,22 @@
         self.now = T0
         self.timers: list[tuple[float, int]] = []
         self.log: list[tuple[float, Action]] = []
-        self.ids = 0
-        self.do(Listing(ListKind.CACHED, tuple(members)))
+        self.last_id = 0
+        self.handle(Listing(ListKind.CACHED, tuple(members)))
 
-    def do(self, event: Event) -> list[Action]:
+    def handle(self, event: Event) -> list[Action]:
+        """Give the balancer one event; return its actions, after recording them and the timers that they set."""
         actions = self.balancer.handle(self.now, event)
         self.log += [(self.now, action) for action in actions]
         self.timers += [(self.now + a.delay, a.token) for a in actions if isinstance(a, SetTimer)]
         return actions
 
-    def ask(self, kind: str, left: float = 2.0, **more: float | int | str | None) -> list[Action]:
-        self.ids += 1
-        return self.do(Request(self.ids, kind, 1, self.now + left, **more))  # type: ignore[arg-type]
+    def request(
+        self, class_name: str, time_left: float = 2.0, **fields: float | int | str | None
+    ) -> list[Action]:
+        """Send a request of this class whose deadline is `time_left` seconds away."""
+        self.last_id += 1
+        return self.handle(Request(self.last_id, class_name, 1, self.now + time_left, **fields))  # type: ignore[arg-type]
 
     def answer(
         self,
@@ -100,171 +104,180 @@
         primary: bool | None = None,
         position: float | None = None,
     ) -> list[Action]:
+        """End an attempt; a successful one finishes its request."""
         finished = status is Status.OK
-        return self.do(Outcome(request, attempt, member, status, finished, 0.01, primary, position))
+        return self.handle(Outcome(request, attempt, member, status, finished, 0.01, primary, position))
 
     def run(self, seconds: float) -> list[Action]:
-        """Let time pass; the actions of the timers that come due."""
-        end, actions = self.now + seconds, list[Action]()
+        """Let time pass; return the actions of the timers that are due."""
+        end = self.now + seconds
+        actions = list[Action]()
         while self.timers and min(self.timers)[0] <= end:
             timer = min(self.timers)
             self.timers.remove(timer)
             self.now = max(self.now, timer[0])
-            actions += self.do(Timer(timer[1]))
+            actions += self.handle(Timer(timer[1]))
         self.now = end
         return actions
 
-    def positions(self, lag: float = 0.01) -> None:
+    def report_positions(self, lag: float = 0.01) -> None:
+        """Let all members report: the primary at the present, the replicas `lag` seconds behind."""
         for name in ("r1", "r2", "r3"):
-            self.do(Probed(name, True, 0.001, Report(position=self.now - lag, primary=False)))
-        self.do(Probed("p", True, 0.001, Report(position=self.now, primary=True)))
+            self.handle(Probed(name, True, 0.001, Report(position=self.now - lag, primary=False)))
+        self.handle(Probed("p", True, 0.001, Report(position=self.now, primary=True)))
 
 
-def of(kind: type[A], actions: Iterable[Action]) -> list[A]:
-    return [action for action in actions if isinstance(action, kind)]
+def of(action_type: type[A], actions: Iterable[Action]) -> list[A]:
+    """Return the actions of one type."""
+    return [action for action in actions if isinstance(action, action_type)]
 
 
 def targets(actions: Iterable[Action]) -> list[str]:
+    """Return the members that requests are sent to."""
     return [action.member for action in of(Send, actions)]
 
 
-# ---- the rule
+# ---- routing
 
 
-@pytest.mark.parametrize("kind", ["write", "keyed", "fresh"])
-def test_writes_and_fresh_reads_go_to_the_named_primary(kind: str) -> None:
-    bench = Bench()
-    bench.positions()
-    assert targets(bench.ask(kind)) == ["p"]
+@pytest.mark.parametrize("class_name", ["write", "keyed", "fresh"])
+def test_writes_and_fresh_reads_go_to_the_named_primary(class_name: str) -> None:
+    driver = Driver()
+    driver.report_positions()
+    assert targets(driver.request(class_name)) == ["p"]
 
 
 def test_a_quiet_router_asks_before_it_sends_and_takes_the_less_loaded_of_two() -> None:
-    bench = Bench()
-    bench.positions()
-    bench.now += 5.0
-    actions = bench.ask("loose")
+    driver = Driver()
+    driver.report_positions()
+    driver.now += 5.0
+    actions = driver.request("loose")
     (first,) = (probe.member for probe in of(Probe, actions))
     assert first != "p" and not of(Send, actions)
-    actions = bench.do(Probed(first, True, 0.001, Report(bench.now, False, in_flight=13.0)))
-    (second,) = (probe.member for probe in of(Probe, actions))  # only because the first is crowded
-    assert targets(bench.do(Probed(second, True, 0.001, Report(bench.now, False, in_flight=5.0)))) == [second]
+    actions = driver.handle(Probed(first, True, 0.001, Report(driver.now, False, in_flight=13.0)))
+    (second,) = (probe.member for probe in of(Probe, actions))  # probed only because the first is crowded
+    assert targets(driver.handle(Probed(second, True, 0.001, Report(driver.now, False, in_flight=5.0)))) == [
+        second
+    ]
 
 
 def test_an_idle_first_member_is_taken_without_asking_another() -> None:
-    bench = Bench()
-    bench.positions()
-    bench.now += 5.0
-    (first,) = (probe.member for probe in of(Probe, bench.ask("loose")))
-    actions = bench.do(Probed(first, True, 0.001, Report(bench.now, False, in_flight=0.0)))
+    driver = Driver()
+    driver.report_positions()
+    driver.now += 5.0
+    (first,) = (probe.member for probe in of(Probe, driver.request("loose")))
+    actions = driver.handle(Probed(first, True, 0.001, Report(driver.now, False, in_flight=0.0)))
     assert targets(actions) == [first] and not of(Probe, actions)
 
 
 def test_as_load_grows_what_is_worth_least_for_its_work_goes_first() -> None:
-    bench = Bench()
+    driver = Driver()
     for load, served in ((8.0, True), (90.0, False)):
-        bench.do(Probed("p", True, 0.001, Report(bench.now, True, in_flight=load)))
-        assert bool(targets(bench.ask("write"))) is served
+        driver.handle(Probed("p", True, 0.001, Report(driver.now, True, in_flight=load)))
+        assert bool(targets(driver.request("write"))) is served
     for name in ("r1", "r2", "r3"):
-        bench.do(Probed(name, True, 0.001, Report(bench.now, False, in_flight=33.0)))
-    assert not targets(bench.ask("recent")) and targets(bench.ask("own"))
+        driver.handle(Probed(name, True, 0.001, Report(driver.now, False, in_flight=33.0)))
+    assert not targets(driver.request("recent")) and targets(driver.request("own"))
 
 
 def test_gone_members_are_dropped_and_served_again_when_they_return() -> None:
-    bench = Bench()
-    bench.positions()
-    (target,) = targets(bench.ask("loose"))
+    driver = Driver()
+    driver.report_positions()
+    (target,) = targets(driver.request("loose"))
     entry = next(entry for entry in MEMBERS if entry.member == target)
-    for turn in range(20):
-        bench.do(Listing(ListKind.CHANGES, (Entry(f"new{turn}", 1), replace(entry, state=State.GONE))))
-        bench.do(Listing(ListKind.CHANGES, (Entry(f"new{turn}", 1, state=State.GONE),)))
-    assert len(bench.balancer.groups[1].members) == 3 and target in bench.balancer.members  # one is out there
-    assert targets(bench.answer(1, target, Status.RESET))  # and its end is not missed
-    assert len(bench.balancer.members) == 3
-    bench.do(Listing(ListKind.CHANGES, (entry,)))
-    bench.positions()
-    assert target in {member for _ in range(30) for member in targets(bench.ask("loose"))}
+    for number in range(20):
+        driver.handle(Listing(ListKind.CHANGES, (Entry(f"new{number}", 1), replace(entry, state=State.GONE))))
+        driver.handle(Listing(ListKind.CHANGES, (Entry(f"new{number}", 1, state=State.GONE),)))
+    assert (
+        len(driver.balancer.groups[1].members) == 3 and target in driver.balancer.members
+    )  # it has an attempt in flight
+    assert targets(driver.answer(1, target, Status.RESET))  # the outcome still counts
+    assert len(driver.balancer.members) == 3
+    driver.handle(Listing(ListKind.CHANGES, (entry,)))
+    driver.report_positions()
+    assert target in {member for _ in range(30) for member in targets(driver.request("loose"))}
 
 
 def test_a_member_that_does_not_report_in_time_is_passed_over() -> None:
-    bench = Bench()
-    bench.positions()
-    bench.now += 5.0
-    (first,) = (probe.member for probe in of(Probe, bench.ask("loose")))
-    (second,) = (probe.member for probe in of(Probe, bench.run(0.1)))
+    driver = Driver()
+    driver.report_positions()
+    driver.now += 5.0
+    (first,) = (probe.member for probe in of(Probe, driver.request("loose")))
+    (second,) = (probe.member for probe in of(Probe, driver.run(0.1)))
     assert second != first
-    assert targets(bench.do(Probed(second, True, 0.001, Report(bench.now, False)))) == [second]
+    assert targets(driver.handle(Probed(second, True, 0.001, Report(driver.now, False)))) == [second]
 
 
 def test_a_crowded_member_is_not_sent_what_it_cannot_answer_in_time() -> None:
-    bench = Bench()
+    driver = Driver()
     for name in ("p", "r1", "r2", "r3"):
         load = 3.0 if name == "r3" else 500.0
-        bench.do(Probed(name, True, 0.001, Report(bench.now, name == "p", in_flight=load)))
-    assert {target for _ in range(9) for target in targets(bench.ask("loose"))} == {"r3"}
-    bench.ask("write")
-    assert of(Refuse, bench.run(2.0))
+        driver.handle(Probed(name, True, 0.001, Report(driver.now, name == "p", in_flight=load)))
+    assert {target for _ in range(9) for target in targets(driver.request("loose"))} == {"r3"}
+    driver.request("write")
+    assert of(Refuse, driver.run(2.0))
 
 
 def test_a_primary_whose_position_stands_still_gets_no_write_though_it_answers_probes() -> None:
-    bench = Bench()
-    bench.positions()
-    stood = bench.now
-    bench.now += 3.0
-    assert [probe.member for probe in of(Probe, bench.ask("write"))] == ["p"]
-    actions = bench.do(Probed("p", True, 0.001, Report(stood, True)))
+    driver = Driver()
+    driver.report_positions()
+    stalled_at = driver.now
+    driver.now += 3.0
+    assert [probe.member for probe in of(Probe, driver.request("write"))] == ["p"]
+    actions = driver.handle(Probed("p", True, 0.001, Report(stalled_at, True)))
     assert not of(Send, actions)
-    assert {"r1", "r2", "r3"} <= {probe.member for probe in of(Probe, bench.run(0.3))}
-    assert targets(bench.do(Probed("r2", True, 0.001, Report(bench.now, True)))) == ["r2"]
+    assert {"r1", "r2", "r3"} <= {probe.member for probe in of(Probe, driver.run(0.3))}
+    assert targets(driver.handle(Probed("r2", True, 0.001, Report(driver.now, True)))) == ["r2"]
 
 
 def test_other_reads_go_to_the_less_busy_of_two_recent_replicas() -> None:
-    bench = Bench()
-    bench.positions()
-    sent = [target for _ in range(6) for target in targets(bench.ask("recent"))]
+    driver = Driver()
+    driver.report_positions()
+    sent = [target for _ in range(6) for target in targets(driver.request("recent"))]
     assert set(sent) == {"r1", "r2", "r3"}
 
 
 def test_a_bounded_read_with_no_replica_known_recent_goes_to_the_primary() -> None:
-    bench = Bench()
-    bench.positions(lag=1.0)
-    assert targets(bench.ask("recent") + bench.run(0.3)) == ["p"]
+    driver = Driver()
+    driver.report_positions(lag=1.0)
+    assert targets(driver.request("recent") + driver.run(0.3)) == ["p"]
 
 
 def test_a_session_read_needs_its_sessions_last_write() -> None:
-    bench = Bench()
-    bench.positions(lag=0.3)
-    assert targets(bench.ask("own", since_write=0.4))[0] in {"r1", "r2", "r3"}
-    assert targets(bench.ask("own", since_write=0.2) + bench.run(0.3)) == ["p"]
-    bench.positions()
-    assert targets(bench.ask("own"))[0] in {"r1", "r2", "r3"}  # it has not written
+    driver = Driver()
+    driver.report_positions(lag=0.3)
+    assert targets(driver.request("own", since_write=0.4))[0] in {"r1", "r2", "r3"}
+    assert targets(driver.request("own", since_write=0.2) + driver.run(0.3)) == ["p"]
+    driver.report_positions()
+    assert targets(driver.request("own"))[0] in {"r1", "r2", "r3"}  # this session has not written
 
 
 def test_a_remembered_session_needs_the_writes_answered_here() -> None:
-    bench = Bench(replace(SETTINGS, client_tokens=False))
-    bench.positions(lag=0.0)
-    assert targets(bench.ask("write", session=9)) == ["p"]
-    bench.answer(1, "p", position=T0 + 0.1, primary=True)
-    assert targets(bench.ask("own", session=8))[0] != "p"
-    assert targets(bench.ask("own", session=9) + bench.run(0.3)) == ["p"]
+    driver = Driver(replace(SETTINGS, client_tokens=False))
+    driver.report_positions(lag=0.0)
+    assert targets(driver.request("write", session=9)) == ["p"]
+    driver.answer(1, "p", position=T0 + 0.1, primary=True)
+    assert targets(driver.request("own", session=8))[0] != "p"
+    assert targets(driver.request("own", session=9) + driver.run(0.3)) == ["p"]
 
 
 def test_forgotten_sessions_stay_safe_and_memory_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("banklift.balance.MAX_SESSIONS", 3)
-    bench = Bench(replace(SETTINGS, client_tokens=False))
+    driver = Driver(replace(SETTINGS, client_tokens=False))
     for session in range(5):
-        bench.ask("write", session=session)
-        bench.answer(bench.ids, "p", position=T0 + session, primary=True)
-    assert len(bench.balancer.sessions) == 3
-    bench.positions(lag=0.5)
-    assert targets(bench.ask("own", session=0) + bench.run(0.3)) == ["p"]
+        driver.request("write", session=session)
+        driver.answer(driver.last_id, "p", position=T0 + session, primary=True)
+    assert len(driver.balancer.sessions) == 3
+    driver.report_positions(lag=0.5)
+    assert targets(driver.request("own", session=0) + driver.run(0.3)) == ["p"]
 
 
 def test_where_members_check_an_unknown_replica_may_be_tried_and_a_miss_is_remembered() -> None:
-    bench = Bench(replace(SETTINGS, members_check=True, answers_carry_position=False, may_probe=False))
-    first = targets(bench.ask("recent"))[0]
+    driver = Driver(replace(SETTINGS, members_check=True, answers_carry_position=False, may_probe=False))
+    first = targets(driver.request("recent"))[0]
     assert first != "p"
-    bench.answer(1, first, Status.MISS, primary=False)
-    sent = [target for _ in range(8) for target in targets(bench.ask("recent"))]
+    driver.answer(1, first, Status.MISS, primary=False)
+    sent = [target for _ in range(8) for target in targets(driver.request("recent"))]
     assert first not in sent and sent
 
 
@@ -272,233 +285,237 @@
 
 
 def test_a_write_is_held_without_a_primary_and_released_by_a_role_fact() -> None:
-    bench = Bench()
-    bench.positions()
-    bench.ask("write")
-    bench.answer(1, "p", Status.MISS, primary=False)
-    for attempt, replica in enumerate(("r1", "r2", "r3"), 1):  # the round of tries
-        bench.now += 0.01
-        bench.answer(1, replica, Status.MISS, attempt, primary=False)
-    bench.run(0.2)
-    assert 1 in bench.balancer.requests
-    assert targets(bench.do(Probed("r2", True, 0.001, Report(position=bench.now, primary=True)))) == ["r2"]
-
-
-@pytest.mark.parametrize("left", [2.0, 0.8])
-def test_what_reached_nobody_is_held_for_less_than_half_of_its_time(left: float) -> None:
-    """Its client is told when to come back, and the connection on which it waits is free for others."""
-    bench = Bench()
-    bench.positions()
-    bench.ask("write", left)
-    bench.answer(1, "p", Status.CONNECT_FAILED)
-    assert not of(Refuse, bench.run(0.3 * left))
-    (refused,) = of(Refuse, bench.run(0.2 * left))
+    driver = Driver()
+    driver.report_positions()
+    driver.request("write")
+    driver.answer(1, "p", Status.MISS, primary=False)
+    for attempt, replica in enumerate(("r1", "r2", "r3"), 1):  # each replica is tried once
+        driver.now += 0.01
+        driver.answer(1, replica, Status.MISS, attempt, primary=False)
+    driver.run(0.2)
+    assert 1 in driver.balancer.requests
+    assert targets(driver.handle(Probed("r2", True, 0.001, Report(position=driver.now, primary=True)))) == [
+        "r2"
+    ]
+
+
+@pytest.mark.parametrize("time_left", [2.0, 0.8])
+def test_request_that_reached_no_member_is_held_for_less_than_half_of_its_time(time_left: float) -> None:
+    """Its client is told when to retry, and its connection is free for other requests."""
+    driver = Driver()
+    driver.report_positions()
+    driver.request("write", time_left)
+    driver.answer(1, "p", Status.CONNECT_FAILED)
+    assert not of(Refuse, driver.run(0.3 * time_left))
+    (refused,) = of(Refuse, driver.run(0.2 * time_left))
     assert refused.retry_after == SETTINGS.max_retry_after
 
 
-def test_what_reached_somebody_is_held_to_its_last_call() -> None:
-    bench = Bench()
-    bench.positions()
-    bench.ask("write")
-    bench.answer(1, "p", Status.MISS, primary=False)
+def test_request_that_reached_a_member_is_held_until_its_send_cutoff() -> None:
+    driver = Driver()
+    driver.report_positions()
+    driver.request("write")
+    driver.answer(1, "p", Status.MISS, primary=False)
     for attempt, replica in enumerate(("r1", "r2", "r3"), 1):
-        bench.answer(1, replica, Status.MISS, attempt, primary=False)
-    assert not of(Refuse, bench.run(1.2)) and of(Refuse, bench.run(0.6))
+        driver.answer(1, replica, Status.MISS, attempt, primary=False)
+    assert not of(Refuse, driver.run(1.2)) and of(Refuse, driver.run(0.6))
 
 
-def test_with_no_role_known_a_write_tries_each_member_in_turn_then_waits() -> None:
-    bench = Bench(replace(SETTINGS, lists_roles=False), [replace(entry, primary=False) for entry in MEMBERS])
-    tried = targets(bench.ask("write"))
+def test_without_known_roles_a_write_tries_each_member_in_turn_then_waits() -> None:
+    driver = Driver(
+        replace(SETTINGS, lists_roles=False), [replace(entry, primary=False) for entry in MEMBERS]
+    )
+    tried = targets(driver.request("write"))
     for attempt in range(4):
-        tried += targets(bench.answer(1, tried[-1], Status.MISS, attempt, primary=False))
+        tried += targets(driver.answer(1, tried[-1], Status.MISS, attempt, primary=False))
     assert sorted(tried) == ["p", "r1", "r2", "r3"]
-    assert not of(Refuse, [action for _, action in bench.log])
+    assert not of(Refuse, [action for _, action in driver.log])
 
 
 def test_an_older_report_does_not_undo_a_newer_answer() -> None:
-    bench = Bench()
-    bench.now += 1
-    bench.ask("write")
-    bench.now += 0.1
-    bench.answer(1, "p", Status.MISS, primary=False)
-    bench.do(Probed("r1", True, 0.001, Report(position=bench.now, primary=True)))
-    bench.do(Probed("p", True, 0.001, Report(position=bench.now - 0.5, primary=True)))
-    assert targets(bench.ask("write")) == ["r1"]
+    driver = Driver()
+    driver.now += 1
+    driver.request("write")
+    driver.now += 0.1
+    driver.answer(1, "p", Status.MISS, primary=False)
+    driver.handle(Probed("r1", True, 0.001, Report(position=driver.now, primary=True)))
+    driver.handle(Probed("p", True, 0.001, Report(position=driver.now - 0.5, primary=True)))
+    assert targets(driver.request("write")) == ["r1"]
 
 
 def test_positions_never_fall() -> None:
-    bench = Bench()
-    bench.positions(lag=0.1)
-    bench.positions(lag=5.0)
-    assert targets(bench.ask("recent"))[0] != "p"
+    driver = Driver()
+    driver.report_positions(lag=0.1)
+    driver.report_positions(lag=5.0)
+    assert targets(driver.request("recent"))[0] != "p"
 
 
 # ---- the five rules
 
 
 def test_every_request_ends_once_before_its_deadline_whatever_happens() -> None:
-    for kind in (each.name for each in CLASSES):
-        bench = Bench(members=[replace(entry, state=State.DRAINING) for entry in MEMBERS])
-        bench.ask(kind, left=0.7)
-        bench.run(0.7)
-        finals = [(at, action) for at, action in bench.log if isinstance(action, (Refuse, Fail))]
+    for class_name in (request_class.name for request_class in CLASSES):
+        driver = Driver(members=[replace(entry, state=State.DRAINING) for entry in MEMBERS])
+        driver.request(class_name, time_left=0.7)
+        driver.run(0.7)
+        finals = [(at, action) for at, action in driver.log if isinstance(action, (Refuse, Fail))]
         assert len(finals) == 1 and finals[0][0] < T0 + 0.7
-        assert not bench.balancer.requests
+        assert not driver.balancer.requests
 
 
-@pytest.mark.parametrize("left", [-1.0, 0.0])
-def test_a_deadline_already_past_is_answered_at_once(left: float) -> None:
-    assert of(Refuse, Bench().ask("loose", left=left))
+@pytest.mark.parametrize("time_left", [-1.0, 0.0])
+def test_a_deadline_already_past_is_answered_at_once(time_left: float) -> None:
+    assert of(Refuse, Driver().request("loose", time_left=time_left))
 
 
 def test_no_list_yet_and_unknown_classes_are_answered() -> None:
-    bench = Bench(members=[])
-    assert of(Refuse, bench.ask("no-such-class"))
-    bench.ask("loose", left=0.5)
-    assert of(Refuse, bench.run(0.5))
+    driver = Driver(members=[])
+    assert of(Refuse, driver.request("no-such-class"))
+    driver.request("loose", time_left=0.5)
+    assert of(Refuse, driver.run(0.5))
 
 
 @pytest.mark.parametrize("status", [Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED])
 def test_an_unsafe_request_that_may_have_run_fails_and_is_not_resent(status: Status) -> None:
-    bench = Bench()
-    bench.positions()
-    bench.ask("write")
-    actions = bench.answer(1, "p", status)
+    driver = Driver()
+    driver.report_positions()
+    driver.request("write")
+    actions = driver.answer(1, "p", status)
     assert of(Fail, actions) and not of(Send, actions) and not of(Refuse, actions)
 
 
 def test_an_unsafe_request_that_never_ran_is_refused_at_its_end() -> None:
-    bench = Bench()
-    bench.positions()
-    bench.ask("write")
-    bench.answer(1, "p", Status.CONNECT_FAILED)
-    assert of(Refuse, bench.run(2.0)) == [Refuse(1, 1.0)]
+    driver = Driver()
+    driver.report_positions()
+    driver.request("write")
+    driver.answer(1, "p", Status.CONNECT_FAILED)
+    assert of(Refuse, driver.run(2.0)) == [Refuse(1, 1.0)]
 
 
 def test_a_keyed_request_is_resent_only_within_its_window() -> None:
     for wait, resent in ((0.1, True), (0.6, False)):
-        bench = Bench()
-        bench.positions()
-        bench.ask("keyed")
-        bench.now += wait
-        bench.answer(1, "p", Status.RESET)
-        actions = bench.do(Probed("r1", True, 0.001, Report(position=bench.now, primary=True)))
+        driver = Driver()
+        driver.report_positions()
+        driver.request("keyed")
+        driver.now += wait
+        driver.answer(1, "p", Status.RESET)
+        actions = driver.handle(Probed("r1", True, 0.001, Report(position=driver.now, primary=True)))
         assert (targets(actions) == ["r1"]) is resent
 
 
 def test_a_safe_read_goes_elsewhere_after_an_error() -> None:
-    bench = Bench()
-    bench.positions()
-    first = targets(bench.ask("loose"))[0]
-    again = targets(bench.answer(1, first, Status.ERROR))
+    driver = Driver()
+    driver.report_positions()
+    first = targets(driver.request("loose"))[0]
+    again = targets(driver.answer(1, first, Status.ERROR))
     assert len(again) == 1 and again[0] != first
 
 
 def test_attempts_are_limited() -> None:
-    bench = Bench(replace(SETTINGS, max_attempts=2))
-    bench.positions()
-    first = targets(bench.ask("loose"))[0]
-    second = targets(bench.answer(1, first, Status.ERROR))[0]
-    assert of(Refuse, bench.answer(1, second, Status.ERROR, attempt=1))
+    driver = Driver(replace(SETTINGS, max_attempts=2))
+    driver.report_positions()
+    first = targets(driver.request("loose"))[0]
+    second = targets(driver.answer(1, first, Status.ERROR))[0]
+    assert of(Refuse, driver.answer(1, second, Status.ERROR, attempt=1))
 
 
 @pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
 def test_nothing_new_for_a_member_that_drains_or_is_gone(state: State) -> None:
-    bench = Bench()
-    bench.positions()
-    bench.do(Listing(ListKind.CHANGES, (replace(MEMBERS[1], state=state),)))
-    assert "r1" not in {target for _ in range(20) for target in targets(bench.ask("loose"))}
+    driver = Driver()
+    driver.report_positions()
+    driver.handle(Listing(ListKind.CHANGES, (replace(MEMBERS[1], state=state),)))
+    assert "r1" not in {target for _ in range(20) for target in targets(driver.request("loose"))}
 
 
 def test_a_member_missing_from_a_full_list_is_gone_unless_only_draining_binds() -> None:
-    for binds, excluded in ((False, True), (True, False)):
-        bench = Bench(replace(SETTINGS, only_draining_binds=binds))
-        bench.do(Listing(ListKind.FULL, (MEMBERS[0], MEMBERS[1])))
-        bench.positions()
-        sent = {target for _ in range(20) for target in targets(bench.ask("loose"))}
+    for only_draining_binds, excluded in ((False, True), (True, False)):
+        driver = Driver(replace(SETTINGS, only_draining_binds=only_draining_binds))
+        driver.handle(Listing(ListKind.FULL, (MEMBERS[0], MEMBERS[1])))
+        driver.report_positions()
+        sent = {target for _ in range(20) for target in targets(driver.request("loose"))}
         assert ("r2" not in sent) is excluded
 
 
 def test_many_routers_together_keep_to_the_cold_members_share() -> None:
     members = (*MEMBERS[:1], replace(MEMBERS[1], started=T0), *MEMBERS[2:])
-    for kind, share in (("loose", 0.5), ("write", 0.4)):
-        if kind == "write":
+    for class_name, share in (("loose", 0.5), ("write", 0.4)):
+        if class_name == "write":
             members = (replace(MEMBERS[0], started=T0), *MEMBERS[1:])
         sent = []
-        for seed in range(400):  # first moments, with whatever is held let go again
-            bench = Bench(members=members, seed=seed)
-            bench.positions()
-            bench.ask(kind)
-            bench.run(0.5)
-            sent += [action.member for _, action in bench.log if isinstance(action, Send)]
+        for seed in range(400):  # the first half second, with the held requests sent in it
+            driver = Driver(members=members, seed=seed)
+            driver.report_positions()
+            driver.request(class_name)
+            driver.run(0.5)
+            sent += [action.member for _, action in driver.log if isinstance(action, Send)]
         cold = next(entry.member for entry in members if entry.started)
         assert 0 < sent.count(cold) < share * 400
 
 
 def test_a_cold_member_left_alone_gets_no_more_than_it_can_answer_in_time() -> None:
     for started, served in ((None, True), (T0, False)):
-        bench = Bench(members=(replace(MEMBERS[0], started=started),), seed=3)
-        bench.do(Probed("p", True, 0.001, Report(bench.now, True, in_flight=20.0)))
-        sent = [target for _ in range(50) for target in targets(bench.ask("write"))]
+        driver = Driver(members=(replace(MEMBERS[0], started=started),), seed=3)
+        driver.handle(Probed("p", True, 0.001, Report(driver.now, True, in_flight=20.0)))
+        sent = [target for _ in range(50) for target in targets(driver.request("write"))]
         assert bool(sent) is served
 
 
-# ---- guards
+# ---- health of members, the watch of the list, odd events
 
 
 def test_a_member_that_fails_quickly_is_set_aside_and_tried_again() -> None:
-    bench = Bench()
-    bench.positions()
+    driver = Driver()
+    driver.report_positions()
     for _ in range(20):
-        for target in targets(bench.ask("loose")):
-            bench.answer(bench.ids, target, Status.ERROR if target == "r1" else Status.OK)
-    sent = [target for _ in range(20) for target in targets(bench.ask("loose"))]
+        for target in targets(driver.request("loose")):
+            driver.answer(driver.last_id, target, Status.ERROR if target == "r1" else Status.OK)
+    sent = [target for _ in range(20) for target in targets(driver.request("loose"))]
     assert sent.count("r1") <= 1
-    bench.run(3.0)
-    bench.positions()
-    assert "r1" in {target for _ in range(9) for target in targets(bench.ask("loose"))}
+    driver.run(3.0)
+    driver.report_positions()
+    assert "r1" in {target for _ in range(9) for target in targets(driver.request("loose"))}
 
 
 def test_a_silent_primary_gets_no_more_writes_and_others_are_probed() -> None:
-    bench = Bench()
-    bench.positions()
+    driver = Driver()
+    driver.report_positions()
     for _ in range(4):
-        bench.ask("write")
-    bench.run(1.5)
-    actions = bench.ask("write")
+        driver.request("write")
+    driver.run(1.5)
+    actions = driver.request("write")
     assert not of(Send, actions)
-    assert {probe.member for probe in of(Probe, bench.run(0.3))} >= {"r1", "r2", "r3"}
+    assert {probe.member for probe in of(Probe, driver.run(0.3))} >= {"r1", "r2", "r3"}
 
 
 def test_safe_attempts_are_moved_away_from_a_silent_member() -> None:
-    bench = Bench()
-    bench.positions()
+    driver = Driver()
+    driver.report_positions()
     for _ in range(15):
-        bench.ask("loose")
-    assert of(Cancel, bench.run(0.45))
+        driver.request("loose")
+    assert of(Cancel, driver.run(0.45))
 
 
-def test_if_all_look_bad_the_module_acts_as_if_none_did() -> None:
-    bench = Bench()
-    bench.positions()
-    for member in bench.balancer.members.values():
-        member.failed_at = bench.now
-    assert targets(bench.ask("loose"))
+def test_if_all_members_look_unhealthy_health_is_ignored() -> None:
+    driver = Driver()
+    driver.report_positions()
+    for member in driver.balancer.members.values():
+        member.failed_at = driver.now
+    assert targets(driver.request("loose"))
 
 
 def test_the_watch_is_renewed_after_errors_with_growing_waits() -> None:
-    bench = Bench(replace(SETTINGS, must_ask=True, ask_within=10.0))
-    assert of(Watch, [action for _, action in bench.log])
-    waits = [of(SetTimer, bench.do(Listing(ListKind.FAILED)))[0].delay for _ in range(6)]
+    driver = Driver(replace(SETTINGS, must_ask=True, ask_within=10.0))
+    assert of(Watch, [action for _, action in driver.log])
+    waits = [of(SetTimer, driver.handle(Listing(ListKind.FAILED)))[0].delay for _ in range(6)]
     assert waits[0] < waits[-1] < 10.0
-    assert of(Watch, bench.run(10.0))
+    assert of(Watch, driver.run(10.0))
 
 
 def test_late_and_unknown_events_do_no_harm() -> None:
-    bench = Bench()
-    bench.ask("write")
-    bench.do(Abandoned(1))
-    assert not bench.answer(1, "p")
+    driver = Driver()
+    driver.request("write")
+    driver.handle(Abandoned(1))
+    assert not driver.answer(1, "p")
     for event in (
         Abandoned(77),
         Timer(99),
@@ -506,13 +523,13 @@
         Outcome(77, 0, "p", Status.OK, True, 0.1),
         Outcome(77, 3, "nobody", Status.ERROR, False, 0.1),
     ):
-        assert not of(Send, bench.do(event))
+        assert not of(Send, driver.handle(event))
 
 
-def test_same_events_same_actions_whatever_the_hash_seed() -> None:
+def test_the_same_events_give_the_same_actions_whatever_the_hash_seed() -> None:
     script = (
-        "from tests.test_balance import Bench\nb = Bench()\nb.positions()\n"
-        "for i in range(50):\n    b.ask(('loose', 'recent', 'write')[i % 3], session=i)\n"
+        "from tests.test_balance import Driver\nb = Driver()\nb.report_positions()\n"
+        "for i in range(50):\n    b.request(('loose', 'recent', 'write')[i % 3], session=i)\n"
         "    b.run(0.05)\nprint(b.log)"
     )
     runs = [
@@ -529,7 +546,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "field"),
+    ("change", "field_name"),
     [
         ({"classes": ()}, "classes"),
         ({"balancers": 0}, "balancers"),
@@ -538,28 +555,28 @@
         ({"tenants": (Tenant("t", -1.0, 0.5),)}, "tenants"),
     ],
 )
-def test_settings_that_make_no_sense_are_refused(change: dict[str, object], field: str) -> None:
-    with pytest.raises(ValueError, match=field):
+def test_invalid_settings_are_refused(change: dict[str, object], field_name: str) -> None:
+    with pytest.raises(ValueError, match=field_name):
         replace(SETTINGS, **change)  # type: ignore[arg-type]
 
 
-# ---- flat cost: running sums and turns say what looking at everything would say
+# ---- bounded cost: running sums and limited retries give the same results as a loop over everything
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_lateness_by_running_sums_is_what_a_sum_over_all_out_there_says(seed: int) -> None:
+def test_lateness_by_running_sums_equals_the_sum_over_all_attempts_in_flight(seed: int) -> None:
     random = Random(seed)
-    bench = Bench(seed=seed)
-    out: list[tuple[int, int, str]] = []
-    judged = 0
+    driver = Driver(seed=seed)
+    in_flight: list[tuple[int, int, str]] = []
+    overdue_count = 0
     for _ in range(600):
-        bench.now += random.choice((0.0, 0.001, 0.02, 0.2))
-        if random.random() < 0.6 or not out:
+        driver.now += random.choice((0.0, 0.001, 0.02, 0.2))
+        if random.random() < 0.6 or not in_flight:
             if random.random() < 0.2:
-                bench.positions()
-            sends = of(Send, bench.ask(random.choice(("loose", "own", "write", "keyed"))))
+                driver.report_positions()
+            sends = of(Send, driver.request(random.choice(("loose", "own", "write", "keyed"))))
         else:
-            request, attempt, member = out.pop(random.randrange(len(out)))
+            request, attempt, member = in_flight.pop(random.randrange(len(in_flight)))
             status = random.choice(
                 (
                     Status.OK,
@@ -571,97 +588,102 @@
                     Status.CONNECT_FAILED,
                 )
             )
-            sends = of(Send, bench.do(Outcome(request, attempt, member, status, status is Status.OK, 0.01)))
+            sends = of(
+                Send, driver.handle(Outcome(request, attempt, member, status, status is Status.OK, 0.01))
+            )
         for send in sends:
-            pending = bench.balancer.requests[send.request]
-            out.append((send.request, len(pending.tried) - 1, send.member))
-        for one in bench.balancer.members.values():
-            by_all = sum(
-                (bench.now - max(sent, one.last_answer_at)) / usual for sent, usual, _ in one.flying.values()
+            pending = driver.balancer.requests[send.request]
+            in_flight.append((send.request, len(pending.tried) - 1, send.member))
+        for member_state in driver.balancer.members.values():
+            by_loop = sum(
+                (driver.now - max(sent, member_state.last_answer_at)) / usual
+                for sent, usual, _ in member_state.flying.values()
             )
             by_sums = (
-                (bench.now - one.lateness_base) * one.expected_rate - one.lateness_offset
-                if one.flying
+                (driver.now - member_state.lateness_base) * member_state.expected_rate
+                - member_state.lateness_offset
+                if member_state.flying
                 else 0.0
             )
-            assert by_sums == pytest.approx(by_all, abs=1e-6)
-            judged += by_all > 6
-    assert judged > 100
+            assert by_sums == pytest.approx(by_loop, abs=1e-6)
+            overdue_count += by_loop > 6
+    assert overdue_count > 100
 
 
-def test_with_thousands_held_each_look_tries_some_and_all_are_answered_in_time() -> None:
-    """Each held request is refused by its own last call, though no look goes over all of them; those that can go are
-    sent in turn once there is a primary."""
-    bench = Bench(members=tuple(Entry(name, 1) for name in ("p", "r1", "r2", "r3")))
-    tried: Counter[int] = Counter()
-    route = bench.balancer.route
+def test_with_a_thousand_held_requests_each_check_tries_some_and_all_are_answered_in_time() -> None:
+    """Each held request is refused by its own send cutoff, though no check tries all of them."""
+    driver = Driver(members=tuple(Entry(name, 1) for name in ("p", "r1", "r2", "r3")))
+    tried: Counter[int] = Counter()  # by microsecond
+    route = driver.balancer.route
 
     def counted(pending: Any) -> None:
-        tried[round((bench.now - T0) * 1e6)] += 1
+        tried[round((driver.now - T0) * 1e6)] += 1
         route(pending)
 
-    bench.balancer.route = counted  # type: ignore[method-assign]
-    bench.ids = 100_000
-    first = bench.ids + 1
+    driver.balancer.route = counted  # type: ignore[method-assign]
+    driver.last_id = 100_000
+    first = driver.last_id + 1
     for _ in range(1000):
-        bench.ask("fresh")
+        driver.request("fresh")
     tried.clear()
-    bench.run(1.9)
+    driver.run(1.9)
     assert max(tried.values()) <= 64 + 4
-    refused = [(at, action.request) for at, action in bench.log if isinstance(action, Refuse)]
+    refused = [(at, action.request) for at, action in driver.log if isinstance(action, Refuse)]
     assert sorted(request for _, request in refused) == list(range(first, first + 1000))
-    assert all(at < T0 + 0.8 for at, _ in refused)  # its worth is over then
-    assert not bench.balancer.groups[1].hold_ends
+    assert all(at < T0 + 0.8 for at, _ in refused)  # the end of the aim, after which an answer has no worth
+    assert not driver.balancer.groups[1].hold_ends
 
 
-def test_word_of_a_replica_does_not_try_writes_that_wait_for_the_primary() -> None:
-    bench = Bench()
-    bench.positions()
-    bench.do(Probed("p", True, 0.001, Report(bench.now, True, in_flight=1000.0)))
-    assert not targets(bench.ask("write"))
+def test_a_report_of_a_replica_does_not_retry_writes_that_wait_for_the_primary() -> None:
+    driver = Driver()
+    driver.report_positions()
+    driver.handle(Probed("p", True, 0.001, Report(driver.now, True, in_flight=1000.0)))
+    assert not targets(driver.request("write"))
     tried: list[str] = []
-    choose = bench.balancer.choose_member
+    choose = driver.balancer.choose_member
 
     def noted(pending: Any) -> Any:
         tried.append(pending.request_class.name)
         return choose(pending)
 
-    bench.balancer.choose_member = noted  # type: ignore[method-assign]
-    bench.do(Probed("r1", True, 0.001, Report(position=bench.now, primary=False)))
+    driver.balancer.choose_member = noted  # type: ignore[method-assign]
+    driver.handle(Probed("r1", True, 0.001, Report(position=driver.now, primary=False)))
     assert "write" not in tried
-    bench.do(Probed("p", True, 0.001, Report(bench.now, True, in_flight=0.0)))
+    driver.handle(Probed("p", True, 0.001, Report(driver.now, True, in_flight=0.0)))
     assert "write" in tried
 
 
-def answered(bench: Bench, member: str, count: int, gap: float) -> None:
-    """So many good answers of a member, so far apart."""
+def answered(driver: Driver, member: str, count: int, gap: float) -> None:
+    """Let a member answer `count` requests, `gap` seconds apart."""
     for _ in range(count):
-        bench.now += gap
-        bench.do(Outcome(0, 0, member, Status.OK, True, 0.01))
-
-
-@pytest.mark.parametrize(("count", "gap", "aside"), [(40, 0.02, False), (40, 1.0, True), (4, 0.02, True)])
-def test_one_failure_among_many_good_answers_sets_nobody_aside(count: int, gap: float, aside: bool) -> None:
-    """Answers are spoilt now and then, whoever gives them; a quiet router takes that for a sick member."""
-    bench = Bench()
-    answered(bench, "r1", count, gap)
-    bench.do(Outcome(0, 0, "r1", Status.ERROR, False, 0.01))
-    assert bench.balancer.healthy(bench.balancer.members["r1"]) is not aside
-
-
-def test_a_second_failure_soon_after_sets_it_aside() -> None:
-    bench = Bench()
-    answered(bench, "r1", 40, 0.02)
-    bench.do(Outcome(0, 0, "r1", Status.ERROR, False, 0.01))
-    answered(bench, "r1", 3, 0.02)
-    bench.do(Outcome(0, 0, "r1", Status.ERROR, False, 0.01))
-    assert not bench.balancer.healthy(bench.balancer.members["r1"])
-
-
-def test_a_connection_that_breaks_accuses_nobody_and_a_refused_one_does() -> None:
-    """Kept connections are reset on the way; where the member is gone the next connect tells at once."""
-    bench = Bench()
-    bench.do(Outcome(0, 0, "r1", Status.RESET, False, 0.01))
-    assert bench.balancer.healthy(bench.balancer.members["r1"])
-    bench.do(Outcome(0, 0, "r1", Status.CONNECT_FAILED, False, 0.01))
-    assert not bench.balancer.healthy(bench.balancer.members["r1"])
+        driver.now += gap
+        driver.handle(Outcome(0, 0, member, Status.OK, True, 0.01))
+
+
+@pytest.mark.parametrize(("count", "gap", "unhealthy"), [(40, 0.02, False), (40, 1.0, True), (4, 0.02, True)])
+def test_one_failure_among_many_successes_leaves_a_member_healthy(
+    count: int, gap: float, unhealthy: bool
+) -> None:
+    """Any member's answer fails now and then. A router that sends little would take that for an unhealthy member."""
+    driver = Driver()
+    answered(driver, "r1", count, gap)
+    driver.handle(Outcome(0, 0, "r1", Status.ERROR, False, 0.01))
+    assert driver.balancer.healthy(driver.balancer.members["r1"]) is not unhealthy
+
+
+def test_a_second_failure_soon_after_makes_a_member_unhealthy() -> None:
+    driver = Driver()
+    answered(driver, "r1", 40, 0.02)
+    driver.handle(Outcome(0, 0, "r1", Status.ERROR, False, 0.01))
+    answered(driver, "r1", 3, 0.02)
+    driver.handle(Outcome(0, 0, "r1", Status.ERROR, False, 0.01))
+    assert not driver.balancer.healthy(driver.balancer.members["r1"])
+
+
+def test_a_broken_connection_leaves_a_member_healthy_and_a_refused_one_does_not() -> None:
+    """Idle connections are reset by the network; if the member is gone, the next connect fails at once."""
+    driver = Driver()
+    driver.handle(Outcome(0, 0, "r1", Status.RESET, False, 0.01))
+    assert driver.balancer.healthy(driver.balancer.members["r1"])
+    driver.handle(Outcome(0, 0, "r1", Status.CONNECT_FAILED, False, 0.01))
+    assert not driver.balancer.healthy(driver.balancer.members["r1"])
--- a/tests/test_many_members.py
+++ b/tests/test_many_members.py
@@ -17,7 +17,7 @@
 
 
 class Fleet(Site):
-    """One router before all of them; `known` tells whether they stand in its configuration."""
+    """One router in front of all members; `known` says whether its configuration lists them."""
 
     def __init__(self, known: bool) -> None:
         self.world = World(1)
@@ -25,12 +25,13 @@
         self.notes = []
         self.catalogue = Catalogue(self.world, "10.9.0.1:8500").start()
         self.nodes = {}
-        for place in range(MEMBERS):
-            name, primary = f"s-{place:08x}", place < GROUPS
-            node = PgNode(self.world, f"10.0.{place // 250}.{place % 250 + 1}:6432", primary).start()
+        for index in range(MEMBERS):
+            name = f"s-{index:08x}"
+            primary = index < GROUPS
+            node = PgNode(self.world, f"10.0.{index // 250}.{index % 250 + 1}:6432", primary).start()
             self.nodes[name] = node
-            self.catalogue.list(name, node.address, place % GROUPS, writes=primary)
-        whole = self.catalogue.whole()
+            self.catalogue.list(name, node.address, index % GROUPS, writes=primary)
+        listing = self.catalogue.whole()
         environment = {
             "ROUTER_NAME": "n0",
             "ROUTER_LISTEN": "10.1.0.1:6432",
@@ -40,10 +41,10 @@
             "settings": {**SETTINGS, "balancers": 230},
             "limits": {"sockets": SOCKETS},
             "seed": "5",
-            "known": json.loads(json.dumps(whole)) if known else None,
+            "known": json.loads(json.dumps(listing)) if known else None,
         }
         self.start: Start = parse(
-            {key: found for key, found in config.items() if found is not None}, environment
+            {key: setting for key, setting in config.items() if setting is not None}, environment
         )
         assert self.start.settings == parse_settings({**SETTINGS, "balancers": 230})
         self.service = Service(cast(SocketEnv, self.world), self.start, {}, self.note)
@@ -52,25 +53,25 @@
         self.run(0.05)
 
 
-def serves(fleet: Fleet) -> None:
-    """Every group takes a write, and reads go to hundreds of members."""
+def check_that_all_groups_are_served(fleet: Fleet) -> None:
+    """Send a write to every group, and reads that have to reach hundreds of members."""
     caller = Caller(fleet)
     for group in range(GROUPS):
         assert value(caller.ask(fleet.write(f"k{group}", cluster=group), 0.1))
-    for turn in range(10):
+    for round_number in range(10):
         for group in range(GROUPS):
-            assert value(caller.ask(fleet.read("any", f"k{group}-{turn}", cluster=group), 0.1))
+            assert value(caller.ask(fleet.read("any", f"k{group}-{round_number}", cluster=group), 0.1))
     assert sum(bool(node.seen) for node in fleet.nodes.values()) > 400
     assert len(fleet.machine.links) <= fleet.machine.limits.all_links < 300
 
 
-def test_all_of_them_stand_in_the_configuration() -> None:
+def test_all_members_are_in_the_configuration() -> None:
     fleet = Fleet(known=True)
     assert len(fleet.machine.nodes) == len(fleet.machine.balancer.members) == MEMBERS
-    serves(fleet)
+    check_that_all_groups_are_served(fleet)
 
 
-def test_all_of_them_come_by_discovery_and_change_at_once() -> None:
+def test_all_members_come_by_discovery_and_change_at_once() -> None:
     fleet = Fleet(known=False)
     assert len(fleet.machine.nodes) == MEMBERS
     for name, node in list(fleet.nodes.items())[GROUPS:]:
@@ -81,25 +82,25 @@
     for name, node in list(fleet.nodes.items())[GROUPS:]:
         fleet.catalogue.list(name, node.address, int(name[2:], 16) % GROUPS)
     fleet.run(1.0)
-    serves(fleet)
+    check_that_all_groups_are_served(fleet)
     assert lists.read(json.dumps(fleet.catalogue.whole()).encode()).targets[-1].uid == f"s-{MEMBERS - 1:08x}"
 
 
-def test_the_link_that_has_rested_longest_makes_room() -> None:
+def test_the_longest_idle_link_is_closed_to_make_room() -> None:
     fleet = Fleet(known=True)
     caller = Caller(fleet)
-    most = fleet.machine.limits.all_links
-    for turn in range(12):
+    max_links = fleet.machine.limits.all_links
+    for round_number in range(12):
         for group in range(GROUPS):
-            assert value(caller.ask(fleet.read("any", f"k{turn}", cluster=group)))
-    assert len(fleet.machine.links) == most
-    used = [link.since for link in fleet.machine.idle.values()]
-    assert used == sorted(used)
-    kept = {link.node.name for link in fleet.machine.links.values()}
-    first = next(iter(fleet.machine.idle.values())).node.name
-    fresh = next(name for name in fleet.nodes if name not in kept)
-    fleet.machine.at(fleet.world.now(), lambda: fleet.machine.probe(fleet.machine.nodes[fresh]))
+            assert value(caller.ask(fleet.read("any", f"k{round_number}", cluster=group)))
+    assert len(fleet.machine.links) == max_links
+    idle_since = [link.since for link in fleet.machine.idle.values()]
+    assert idle_since == sorted(idle_since)
+    linked_before = {link.node.name for link in fleet.machine.links.values()}
+    longest_idle = next(iter(fleet.machine.idle.values())).node.name
+    unlinked = next(name for name in fleet.nodes if name not in linked_before)
+    fleet.machine.at(fleet.world.now(), lambda: fleet.machine.probe(fleet.machine.nodes[unlinked]))
     fleet.host.alarm.look()
     fleet.run(0.05)
-    now = {link.node.name for link in fleet.machine.links.values()}
-    assert fresh in now and first not in now and len(fleet.machine.links) == most
+    linked = {link.node.name for link in fleet.machine.links.values()}
+    assert unlinked in linked and longest_idle not in linked and len(fleet.machine.links) == max_links
--- a/tests/test_offsets.py
+++ b/tests/test_offsets.py
@@ -1,4 +1,4 @@
-"""Offsets to positions: never a position that the log does not bear out, whatever the order of answers."""
+"""Replication offsets and positions: no position is proven that the log does not support, in any order of answers."""
 
 from __future__ import annotations
 
@@ -19,10 +19,12 @@
 
 
 def primary(offset: int, replid: str | None = A, replid2: str | None = None, second: int = -1) -> Standing:
+    """Answer of a primary to `INFO replication`; without `replid` to `ROLE`."""
     return Standing(True, offset, "", True, replid, replid2, second)
 
 
 def replica(offset: int, replid: str | None = A, source: str = "p:1") -> Standing:
+    """Answer of a replica to `INFO replication`; without `replid` to `ROLE`."""
     return Standing(False, offset, source, True, replid)
 
 
@@ -32,25 +34,29 @@
     st.integers(0, 400),
 )
 @settings(max_examples=300)
-def test_a_position_is_borne_out_by_the_log(
+def test_a_position_is_supported_by_the_log(
     samples: list[tuple[float, float, float]], writes: list[int], applied: int
 ) -> None:
-    """Samples are asked at t and read by the primary somewhat later, and their answers arrive in any order."""
-    commits, offset = [], 0
-    for place, size in enumerate(writes):
+    """The primary reads its offset some time after it was asked, and answers arrive in any order."""
+    commits = []
+    offset = 0
+    for index, size in enumerate(writes):
         offset += size
-        commits.append((place * 10 / len(writes), offset))
+        commits.append((index * 10 / len(writes), offset))
 
-    def log(at: float) -> int:
+    def log_end(at: float) -> int:
+        """Offset of the log at a time."""
         return max((end for when, end in commits if when <= at), default=0)
 
     track = Track()
     track.learn("p", primary(0), 0.0, 0.0)
-    for asked, out, back in sorted(samples, key=lambda s: s[0] + s[1] + s[2]):
-        track.learn("p", primary(log(asked + out)), asked, asked + out + back)
+    for asked_at, way_there, way_back in sorted(
+        samples, key=lambda sample: sample[0] + sample[1] + sample[2]
+    ):
+        track.learn("p", primary(log_end(asked_at + way_there)), asked_at, asked_at + way_there + way_back)
     position = track.position(A, applied)
     if position is not None:
-        assert applied >= log(position - 1e-9)  # all commits before that time
+        assert applied >= log_end(position - 1e-9)  # all commits before that time
     assert track.sample_times == sorted(set(track.sample_times)) and track.sample_offsets == sorted(
         set(track.sample_offsets)
     )
@@ -63,19 +69,18 @@
     assert track.learn("r", replica(100), 9.0, 9.0).position == 9.0
 
 
-def test_a_hung_primary_is_told_from_an_idle_one() -> None:
+def test_a_hung_primary_is_distinguished_from_an_idle_one() -> None:
     track = Track()
     track.learn("p", primary(100), 1.0, 1.0)
     assert track.learn("p", primary(100), 5.0, 5.0).position == 5.0
-    assert (
-        track.learn("p", primary(100), 6.0, 6.0, unanswered_since=5.1).position == 5.1
-    )  # a write went in, nothing came out
+    # a write was sent and the offset did not advance
+    assert track.learn("p", primary(100), 6.0, 6.0, unanswered_since=5.1).position == 5.1
     assert (
         track.learn("p", primary(120), 7.0, 7.0, unanswered_since=5.1).position == 7.0
-    )  # it moves: busy, not hung
+    )  # the offset advances: busy, not hung
 
 
-def test_a_promotion_cuts_the_old_line_at_the_fork() -> None:
+def test_a_promotion_cuts_the_old_history_at_the_fork() -> None:
     track = Track()
     track.learn("p", primary(100), 1.0, 1.0)
     track.learn("p", primary(200), 2.0, 2.0)
@@ -94,22 +99,22 @@
     track.learn("p", primary(100), 1.0, 1.0)
     assert track.learn("x", replica(1000, C), 1.0, 1.0).position is None
     second = track.learn("y", primary(1000, C), 1.1, 1.1)
-    assert second.primary is False  # two lines at once: the one known first stays while its primary is heard
+    assert second.primary is False  # two lineages at once: the first stays while its primary answers
     after = 1.1 + PRIMARY_SILENCE_TIMEOUT + 1
     assert track.learn("y", primary(1000, C), after, after).primary is True
     assert track.learn("p", primary(100), after, after).primary is False
 
 
-def test_offsets_that_fall_mean_other_data() -> None:
+def test_a_falling_offset_means_other_data() -> None:
     track = Track()
     track.learn("p", primary(100), 1.0, 1.0)
     track.learn("r", replica(100), 1.0, 1.1)
     assert track.learn("r", replica(100), 1.2, 1.3).reborn is False
-    assert track.learn("r", replica(90), 1.05, 1.4).reborn is False  # asked before: an answer out of order
+    assert track.learn("r", replica(90), 1.05, 1.4).reborn is False  # asked earlier: an answer out of order
     assert track.learn("r", replica(50), 2.0, 2.1).reborn is True
 
 
-def test_role_alone_is_read_in_the_history_told_before() -> None:
+def test_role_is_read_in_the_history_of_the_last_info() -> None:
     track = Track()
     track.learn("p", primary(100), 1.0, 1.0)
     assert track.learn("r", replica(100, None), 1.0, 1.0).unsure
@@ -136,34 +141,36 @@
     assert track.covers(track.learn("r", replica(140), 4.3, 4.3), unknown)  # all commits before 4.2
 
 
-def test_a_mark_that_a_fail_over_lost_is_covered_by_time_alone() -> None:
+def test_a_write_lost_in_a_failover_is_covered_by_time_alone() -> None:
     track = Track()
     track.learn("p", primary(200), 1.0, 1.0)
     seen = track.seen("p", 200, 1.1)
     track.learn("r", primary(300, B, A, 151), 2.0, 2.0)
     behind = track.learn("q", replica(200, B, "r:1"), 2.1, 2.1)
-    assert not track.covers(behind, seen)  # its byte 200 is another one
+    assert not track.covers(behind, seen)  # offset 200 means other data there
     assert track.covers(track.learn("q", replica(300, B, "r:1"), 2.2, 2.2), seen)
 
 
-def test_an_old_primary_that_went_on_says_nothing_of_the_new_line() -> None:
-    """A split: both took writes, neither knowing of the other. What the old one told after the new one had left it
-    would date the new line's writes too late."""
+def test_samples_of_an_old_primary_after_the_fork_do_not_count_for_the_new_history() -> None:
+    """In a split both take writes, neither knowing of the other. Samples of the old primary after the fork would date
+    writes of the new history too late."""
     track = Track()
     track.learn("p", Standing(True, 100, replid=A), 1.0, 1.01)
     track.learn("r", Standing(False, 100, "p:1", replid=A), 1.1, 1.11)
-    track.learn("p", Standing(True, 130, replid=A), 5.0, 5.01)  # r leads its own line since 2.0, at 100
+    track.learn(
+        "p", Standing(True, 130, replid=A), 5.0, 5.01
+    )  # r is primary of its own history since 2.0, from offset 100
     track.learn("r", Standing(True, 160, replid=B, replid2=A, second_offset=101), 6.0, 6.01)
     assert track.position(A, 100) == 1.0  # and not 5.0: r may have taken writes from 1.1 on
     assert track.position(B, 160) == 6.0
     assert track.position(A, 130) == 1.0
 
 
-def test_a_mark_of_a_history_that_nobody_told_of_is_not_held_by_an_old_line() -> None:
+def test_the_old_lineage_does_not_cover_a_mark_of_an_unreported_history() -> None:
     track = Track()
     track.learn("p", Standing(True, 100, replid=A), 1.0, 1.01)
     assert not track.meet(A, 1.5)
-    assert track.meet(B, 2.0)  # its writer's router has met a new primary
+    assert track.meet(B, 2.0)  # the router of its writer has met a new primary
     mark = Seen(2.0, B, 120)
     old = track.learn("p", Standing(True, 100, replid=A), 2.5, 2.51)
     assert old.position == 2.5 and not track.covers(old, mark)
@@ -172,16 +179,16 @@
     assert track.covers(Fact(True, 3.0, offset=130), mark) and not track.covers(
         Fact(False, 1.0, offset=100), mark
     )
-    lost = Track()
-    lost.learn("p", Standing(True, 100, replid=A), 1.0, 1.01)
-    assert lost.meet(B, 2.0) and not lost.meet(
+    lost_track = Track()
+    lost_track.learn("p", Standing(True, 100, replid=A), 1.0, 1.01)
+    assert lost_track.meet(B, 2.0) and not lost_track.meet(
         B, 2.0 + PRIMARY_SILENCE_TIMEOUT
-    )  # nobody ever told: it is gone
-    late = lost.learn("p", Standing(True, 100, replid=A), 9.0, 9.01)
-    assert lost.covers(late, mark)
+    )  # no member reported it: it is lost
+    late = lost_track.learn("p", Standing(True, 100, replid=A), 9.0, 9.01)
+    assert lost_track.covers(late, mark)
 
 
-def test_histories_that_marks_tell_of_are_bounded() -> None:
+def test_the_number_of_unknown_histories_is_bounded() -> None:
     track = Track()
     track.learn("p", Standing(True, 100, replid=A), 1.0, 1.01)
     for number in range(1000):
@@ -189,7 +196,7 @@
     assert len(track.unknown_histories) <= MAX_KNOWN_HISTORIES
 
 
-def test_a_mark_of_two_histories_is_held_by_who_holds_both() -> None:
+def test_a_mark_of_two_histories_is_covered_by_a_member_that_has_both() -> None:
     """A session wrote before and after a promotion that this router has not heard of."""
     track = Track()
     track.learn("p", Standing(True, 100, replid=A), 1.0, 1.01)
@@ -201,29 +208,28 @@
     assert track.covers(Fact(True, 3.0, offset=130), mark) and not track.covers(
         Fact(False, 1.0, offset=110), mark
     )
-    assert track.join(mark, Seen(3.0, B, 130), 3.0) == Seen(3.0, B, 130)  # which goes on from the other
+    assert track.join(mark, Seen(3.0, B, 130), 3.0) == Seen(3.0, B, 130)  # which continues the other history
     assert track.join(Seen(1.0, A, 5), Seen(1.0, A, 9), 3.0) == Seen(1.0, A, 9)
 
 
-def test_a_mark_of_too_many_histories_is_one_of_now() -> None:
+def test_a_mark_of_too_many_histories_becomes_one_of_the_present() -> None:
     track, mark = Track(), Seen(1.0, A, 1)
     for number in range(MAX_MARK_HISTORIES):
         mark = track.join(mark, Seen(1.0, f"{number:040x}", 1), 7.0)
     assert mark == Seen(7.0)
 
 
-def test_a_member_whose_history_leaves_the_line_is_another_one() -> None:
+def test_a_member_whose_history_leaves_the_lineage_has_other_data() -> None:
     track = Track()
     track.learn("p", Standing(True, 100, replid=A), 1.0, 1.01)
     track.learn("r", Standing(False, 100, "p:1", replid=A), 1.1, 1.11)
-    assert (
-        track.learn("r", Standing(False, 100, "p:1", replid=B, replid2=A), 1.2, 1.21).reborn is False
-    )  # it goes on
+    continued = track.learn("r", Standing(False, 100, "p:1", replid=B, replid2=A), 1.2, 1.21)
+    assert continued.reborn is False
     track.learn("s", Standing(False, 100, "p:1", replid=A), 1.1, 1.11)
     assert track.learn("s", Standing(False, 100, "p:1", replid=C, replid2="0" * 40), 1.2, 1.21).reborn is True
 
 
-def test_an_answer_asked_before_the_last_one_came_does_not_take_a_member_back() -> None:
+def test_an_answer_to_an_earlier_question_does_not_set_a_member_back() -> None:
     track = Track()
     track.learn("p", Standing(True, 100, replid=A), 1.0, 1.01)
     track.learn("r", Standing(False, 100, "p:1", replid=A), 1.1, 1.2)
@@ -231,7 +237,7 @@
     assert not late.unsure and not late.reborn and track.place("r") == (1.0, 100)
 
 
-def test_a_member_that_is_forgotten_proves_and_leads_nothing() -> None:
+def test_a_forgotten_member_proves_nothing_and_is_no_primary() -> None:
     track = Track()
     track.learn("p", Standing(True, 100, replid=A), 1.0, 1.01)
     track.learn("r", Standing(False, 100, "p:1", replid=A), 1.1, 1.11)
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -1,4 +1,4 @@
-"""What is bounded and flat: timers taken back, queues by group and class, what a flood leaves behind."""
+"""Bounded resources: cancelled timers, queues by group and class, and what remains after a flood of requests."""
 
 from __future__ import annotations
 
@@ -19,25 +19,28 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 20), st.booleans()), max_size=200))
-def test_timers_run_in_order_but_those_taken_back(asked: list[tuple[int, bool]]) -> None:
-    timers, ran = Timers(), list[int]()
-    made = [
+def test_timers_run_in_order_without_the_cancelled_ones(requested: list[tuple[int, bool]]) -> None:
+    timers = Timers()
+    ran = list[int]()
+    timer_handles = [
         timers.at(float(when), lambda number=number: ran.append(number))  # type: ignore[misc]
-        for number, (when, _) in enumerate(asked)
+        for number, (when, _) in enumerate(requested)
     ]
-    for timer, (_, taken_back) in zip(made, asked, strict=True):
-        if taken_back:
+    for timer, (_, cancelled) in zip(timer_handles, requested, strict=True):
+        if cancelled:
             timers.cancel(timer)
-            timers.cancel(timer)  # twice is once
-    left = [(when, number) for number, (when, taken_back) in enumerate(asked) if not taken_back]
-    assert len(timers) == len(left) and timers.next == min((when for when, _ in left), default=math.inf)
+            timers.cancel(timer)  # a second cancel has no effect
+    remaining = [(when, number) for number, (when, cancelled) in enumerate(requested) if not cancelled]
+    assert len(timers) == len(remaining) and timers.next == min(
+        (when for when, _ in remaining), default=math.inf
+    )
     timers.run(10.0)
-    assert ran == [number for when, number in sorted(left) if when <= 10]
+    assert ran == [number for when, number in sorted(remaining) if when <= 10]
     timers.run(20.0)
-    assert ran == [number for _, number in sorted(left)] and len(timers) == 0
+    assert ran == [number for _, number in sorted(remaining)] and len(timers) == 0
 
 
-def test_timers_taken_back_take_no_room() -> None:
+def test_cancelled_timers_take_no_room() -> None:
     timers = Timers()
     kept = timers.at(1e9, lambda: None)
     for number in range(10_000):
@@ -46,8 +49,9 @@
     assert len(timers) == 1 and timers.next == 1e9 and kept.call is not None
 
 
-def test_a_timer_may_set_and_take_back_others() -> None:
-    timers, ran = Timers(), list[str]()
+def test_a_timer_may_set_and_cancel_others() -> None:
+    timers = Timers()
+    ran = list[str]()
     later: list[Timer] = []
 
     def first() -> None:
@@ -62,45 +66,45 @@
     assert ran == ["first", "now"]
 
 
-def test_a_full_class_leaves_the_others_alone() -> None:
+def test_a_full_queue_does_not_affect_other_classes_and_groups() -> None:
     queues = Queues(3, 1.0)
     assert [queues.enter(0, "note", 1.0) for _ in range(3)] == [None] * 3
-    assert queues.enter(0, "note", 1.0) == 1.0  # nothing was ever answered: the longest wait
+    assert queues.enter(0, "note", 1.0) == 1.0  # nothing was answered yet, so the longest delay
     assert queues.enter(0, "pick", 1.0) is None and queues.enter(1, "note", 1.0) is None
     queues.leave(0, "note", 1.0)
     assert queues.enter(0, "note", 1.0) is None
     assert queues.queues[0, "note"].refusals == 1
 
 
-def test_who_finds_a_queue_full_comes_back_when_half_of_it_is_gone() -> None:
+def test_a_refused_client_retries_when_half_of_the_queue_is_answered() -> None:
     queues = Queues(100, 10.0)
     for _ in range(100):
         queues.enter(0, "note", 0.0)
     now = 0.0
-    for _ in range(600):  # fifty a second for twelve seconds, and as many come in
+    for _ in range(600):  # fifty answers a second for twelve seconds, and as many new requests
         now += 0.02
         queues.leave(0, "note", now)
         assert queues.enter(0, "note", now) is None
     wait = queues.enter(0, "note", now)
     assert wait is not None and wait == pytest.approx(1.0, rel=0.05)
-    assert queues.enter(0, "note", now + 60.0) == 10.0  # that rate is long past
-    quick = Queues(1, 10.0)
-    quick.enter(0, "note", 0.0)
+    assert queues.enter(0, "note", now + 60.0) == 10.0  # the rate has decayed
+    fast_queue = Queues(1, 10.0)
+    fast_queue.enter(0, "note", 0.0)
     for number in range(100):
-        quick.leave(0, "note", number / 1000)
-        quick.enter(0, "note", number / 1000)
-    assert quick.enter(0, "note", 0.1) == MIN_RETRY_AFTER
+        fast_queue.leave(0, "note", number / 1000)
+        fast_queue.enter(0, "note", number / 1000)
+    assert fast_queue.enter(0, "note", 0.1) == MIN_RETRY_AFTER
 
 
-def test_a_full_queue_refuses_at_once_and_tells_when_to_come_back() -> None:
+def test_a_full_queue_refuses_at_once_and_tells_when_to_retry() -> None:
     rig = Rig(queue=2)
-    rig.offsets.clear()  # nobody answers: everything is held
+    rig.offsets.clear()  # no member answers, so all requests are held
     for _ in range(3):
         rig.ask("SET", "note:1", "a")
-    assert rig.answer() == b""  # answers keep their order
+    assert rig.answer() == b""  # a client gets its answers in the order of its requests
     rig.tell(ev.ClientOpened(2))
     rig.ask("SET", "note:1", "a", client=2)
-    assert rig.answer(2) == b""  # the first client's third waits at its gate, and is not open
+    assert rig.answer(2) == b""  # the first client's third request waits for its turn and is not pending
     rig.tell(ev.ClientOpened(3))
     rig.ask("SET", "note:1", "a", client=3)
     assert rig.answer(3) == b"-TRYAGAIN refused: nothing ran; retry_after_ms=1000\r\n"
@@ -108,8 +112,8 @@
     assert rig.answer(3) == b""
 
 
-def test_attempts_that_wait_for_links_are_bounded_and_their_requests_are_not_lost() -> None:
-    """One on top of the bound never goes to the member; the module holds its request, and it ends in time."""
+def test_attempts_waiting_for_links_are_bounded_and_no_request_is_lost() -> None:
+    """An attempt beyond the bound never goes to the member. The balancer holds its request, which ends in time."""
     rig = Rig(links=1, waiting=2)
     for client in range(2, 12):
         rig.tell(ev.ClientOpened(client))
@@ -119,8 +123,8 @@
     assert all(rig.answer(client) for client in range(2, 12)) and not rig.machine.open
 
 
-def test_a_flood_that_has_gone_leaves_nothing() -> None:
-    """Every client leaves, in any order: no queue, timer or heap keeps anything of it."""
+def test_nothing_remains_after_a_flood_of_requests() -> None:
+    """All clients leave, in any order. No queue, timer or heap keeps any of their requests."""
     rig = Rig(links=4, waiting=50)
     rig.ask("SET", "note:1", "a")
     link = rig.up("p:1")
@@ -146,8 +150,8 @@
     assert len(machine.timers) < 20 and machine.timers.room < 2 * FEW + 40
 
 
-def test_what_is_late_in_a_line_is_given_up_for_those_behind_it() -> None:
-    """A write that is out has two seconds, the read piped behind it 1.2: both are answered in the read's time."""
+def test_an_overdue_request_is_given_up_for_those_behind_it_in_a_pipeline() -> None:
+    """A write in flight has two seconds, the read pipelined behind it 1.2: both are answered by the read's deadline."""
     rig = Rig()
     rig.tell(ev.ClientData(1, command("SET", "pick:1", "a") + command("GET", "alert:1") + command("PING")))
     rig.up("p:1")
@@ -159,19 +163,19 @@
     assert not rig.machine.open and not rig.machine.front.places  # type: ignore[attr-defined]
 
 
-def test_an_unsafe_write_under_way_is_given_up_for_those_behind_it_with_true_words() -> None:
+def test_an_unsafe_write_in_flight_that_is_given_up_fails_as_uncertain() -> None:
     rig = Rig()
     rig.tell(ev.ClientData(1, command("SET", "pick:1", "a") + command("GET", "alert:1")))
     link = rig.up("p:1")
     rig.wait(1.2)
     assert rig.answer().startswith(b"-UNCERTAIN failed: it may have run")
-    assert link in rig.closed  # its late answer has no way to another request
-    rig.ask("SET", "pick:1", "b")  # the gate is open again
+    assert link in rig.closed  # so its late answer cannot reach another request
+    rig.ask("SET", "pick:1", "b")  # the client may send again
     assert any(b"\r\nb\r\n" in data for other, data in rig.sent.items() if other != link) or rig.machine.open
 
 
-def test_what_is_given_up_may_end_others_of_its_line() -> None:
-    """While one is given up, the module may answer others of the same client: the line moves under the loop."""
+def test_giving_up_a_request_may_end_others_of_its_pipeline() -> None:
+    """The balancer may answer other requests of the client meanwhile: the pipeline changes during the loop over it."""
     rig = Rig()
     front: RespFront = rig.machine.front  # type: ignore[assignment]
     state = front.clients[1]
@@ -190,7 +194,7 @@
     assert not state.line and all(place.answer is not None for place in places)
 
 
-def test_a_wait_may_hold_up_what_is_behind_it() -> None:
+def test_wait_may_delay_the_requests_behind_it() -> None:
     rig = Rig()
     rig.ask("SET", "note:1", "a")
     rig.tell(ev.LinkData(rig.up("p:1"), b"+OK\r\n" + info(True, 50)))
@@ -202,6 +206,6 @@
     assert rig.answer().startswith(b":")
 
 
-def test_settings_of_queues_come_from_the_file() -> None:
+def test_limits_of_queues_come_from_the_configuration() -> None:
     rig = Rig(queue=7)
     assert rig.machine.queues.max_pending == 7 and build.machine(rig.config, 1).queues.max_pending == 7
