--- a/banklift/balance.py
+++ b/banklift/balance.py
@@ -1,7 +1,8 @@
-"""The routing decisions of one router: which member serves a request, when it is held, retried or refused.
+"""Routing decisions of one router: a `Balancer` takes events and returns actions, both of interface.py.
 
-A `Balancer` does no I/O: it takes events and returns actions (see `banklift.interface`), and it knows the time only
-from its caller. Its design is described in docs/design.md. It keeps five rules, which the code names by number:
+It decides which member serves a request, and when a request is held, retried or refused. It does no I/O and
+knows the time only from its caller. Its design is described in docs/design.md. It keeps five rules, which
+the code names by number:
 
 1. One final answer: every request gets exactly one, before its deadline.
 2. No effect twice: a request that may have run is repeated only where its class makes that harmless.
@@ -9,9 +10,10 @@
 4. No cold member is overloaded: a member that started recently gets a limited share of the requests.
 5. No stale read: a read goes only to a member that is recent enough for its class.
 
-Units. Times and durations are seconds. Many limits scale with the latency that the classes aim for; their constants
-name that unit: `..._SHORTEST_AIMS` is in multiples of the shortest aim of all classes, `..._AIM_SHARE` is a fraction
-of the aim of the request's class, and `..._LATENCIES` is in multiples of the usual latency of the request's class.
+Units. Times and durations are seconds. Many limits scale with the latency that the classes aim for; their
+constants name that unit: `..._SHORTEST_AIMS` is in multiples of the shortest aim of all classes,
+`..._AIM_SHARE` is a fraction of the aim of the request's class, and `..._LATENCIES` is in multiples of the
+usual latency of the request's class.
 """
 
 from __future__ import annotations
@@ -32,29 +34,34 @@
 
 # Overdue answers from which a silent member counts as unresponsive; a false alarm about once in e^6.
 MAX_OVERDUE_ANSWERS = 6.0
-# Times the shortest aim: how long a failed member is avoided, and how long successes and measured pace are remembered.
+# Times the shortest aim: how long a failed member is avoided, and how long successes and measured pace are
+# remembered.
 FAILURE_MEMORY_SHORTEST_AIMS = 4.0
 # Recent successful answers (older ones decay) from which a single failure is ignored.
 SUCCESSES_TO_IGNORE_FAILURE = 8.0
 # Times the shortest aim: how long a report or a refused connection is taken as current.
 REPORT_LIFETIME_SHORTEST_AIMS = 0.3
-# Factor on the lifetime of a report in a large fleet, so that all routers together do not probe a member constantly.
+# Factor on the lifetime of a report in a large fleet, so that all routers together do not probe a member
+# constantly.
 LARGE_FLEET_REPORT_LIFETIME_FACTOR = 4.0
 # Seconds by which the next probe is delayed for each second that a member's position is too old.
 CATCH_UP_DELAY_PER_SECOND_BEHIND = 0.5
-# Seconds, or the shortest aim where that is longer: a position that is older in a new report has stopped advancing.
+# Seconds, or the shortest aim where that is longer: a position that is older in a new report has stopped
+# advancing.
 STALLED_POSITION_AGE = 0.3
-# Times the shortest aim: how long to wait for a report (reports take some milliseconds), and the interval between two
-# checks of the held requests.
+# Times the shortest aim: how long to wait for a report (reports take some milliseconds), and the interval
+# between two checks of the held requests.
 TICK_SHORTEST_AIMS = 0.125
-# Usual latencies after which a safe attempt is moved away from an unhealthy member; one in twenty takes longer.
+# Usual latencies after which a safe attempt is moved away from an unhealthy member; one in twenty takes
+# longer.
 OVERDUE_ATTEMPT_LATENCIES = 3.0
 # Statuses of an attempt that show that the member may be out of capacity.
 OVERLOAD_STATUSES = (Status.FULL, Status.TIMEOUT, Status.CANCELLED, Status.CONNECT_FAILED)
 
 # Measured latencies and rates
 
-# Weight of one sample in the moving averages: an answer in latencies and pace, a request in the primary-only share.
+# Weight of one sample in the moving averages: an answer in latencies and pace, a request in the primary-only
+# share.
 SAMPLE_WEIGHT = 0.05
 # Fraction of the aim: usual latency of a class before its first answer.
 INITIAL_LATENCY_AIM_SHARE = 0.25
@@ -62,48 +69,49 @@
 INITIAL_PACE_LOAD = 12.0
 # Times the shortest aim: time constant over which a member's answer rate is smoothed.
 ANSWER_RATE_SPAN_SHORTEST_AIMS = 2.5
-# Times the lowest usual latency of all classes: slower reads of class ANY count as long and go to the first replicas
-# by name, so that the other replicas stay free of them.
+# Times the lowest usual latency of all classes: slower reads of class ANY count as long and go to the first
+# replicas by name, so that the other replicas stay free of them.
 LONG_READ_LATENCY_FACTOR = 3.0
 
 # Capacity of members
 
 # Fraction of the aim: a member with a lower expected latency is not crowded.
 UNCROWDED_AIM_SHARE = 0.2
-# Fraction of the aim: expected latency up to which a member gets more requests.
+# Fraction of the aim: limit of the expected latency up to which a member gets more requests.
 LATENCY_TARGET_AIM_SHARE = 0.5
-# Fraction of the aim: the same by reported load for the class with the highest worth for its work.
+# Fraction of the aim: that limit for the class with the highest worth for its work, by reported load.
 BEST_WORTH_TARGET_AIM_SHARE = 0.75
 # Fraction of what rule 4 allows a cold member; the rest is a margin for uneven load and retries.
 COLD_ADMISSION_SHARE = 0.4
 
 # Holding and retrying requests
 
-# Usual latencies before a request loses its worth after which it is not sent any more: its answer would be too late.
+# Usual latencies: a request is not sent later than this before its worth ends, as its answer would be late.
 SEND_CUTOFF_LATENCIES = 1.6
-# Upper limit of that margin, as a fraction of the time that the request has.
+# Upper limit of the send cutoff, as a fraction of the time that a request has.
 MAX_SEND_CUTOFF_SHARE = 0.6
-# Fraction of the time to the deadline for which a request that reached no member is held; after that its client does
-# better to retry later.
+# Fraction of the time to the deadline for which a request that reached no member is held; after that its
+# client does better to retry later.
 MAX_HOLD_DEADLINE_SHARE = 0.45
-# Held requests of a class that are retried in vain for one event, of thousands that may be held.
+# Held requests of a class, of thousands, that may be retried in vain for one event.
 MAX_MISSES_PER_EVENT = 4
-# Held requests of a class that are retried in vain at one periodic check.
+# Held requests of a class that may be retried in vain at one periodic check.
 MAX_MISSES_PER_TICK = 64
 
 # Sizes
 
-# Sessions whose last write is remembered; a dropped one counts as having written at the newest write of those dropped.
+# Sessions whose last write is remembered; a dropped one counts as having written at the newest write of those
+# dropped.
 MAX_SESSIONS = 10_000
-# Routers up to which each may probe a member before it sends; more routers would probe it all the time.
+# Routers up to which each may probe a member before it sends; more of them would probe it constantly.
 SMALL_FLEET_ROUTERS = 8
 
 # Watch of the member list
 
 # Fraction of the allowed `ask_within`: wait after a first failed call to the list; it doubles three times.
 WATCH_RETRY_SHARE = 0.05
-# Seconds of `ask_within` that count: a router is expected to know a change of the list 6 s after discovery is
-# reachable again.
+# Seconds: upper limit of the `ask_within` that counts. A change of the list counts as known to the router 6 s
+# after discovery is reachable again, so retries must not be further apart.
 MAX_ASK_WITHIN = 10.0
 
 
@@ -129,7 +137,8 @@
     rate: float = 0.0  # work answered a second, in seconds of usual latency, as of `answer_rate_at`
     answer_rate_at: float = 0.0
     probed: float = -math.inf
-    # attempts in flight by request and attempt: time sent, usual latency, load of the member then (0: unknown)
+    # attempts in flight by request and attempt: time sent, usual latency, load of the member then (0:
+    # unknown)
     flying: dict[tuple[int, int], tuple[float, float, float]] = field(default_factory=dict)
     in_flight_work: float = 0.0  # sum of the usual latencies of the attempts in flight
     expected_rate: float = 0.0  # answers a second expected of them: the sum of the inverse usual latencies
@@ -244,12 +253,13 @@
             if pending.in_hold_ends:
                 heappush(pending.group.hold_ends, (event.by, pending.request.id))
 
-    # ---- facts about members: each carries the time at which it was true, so an older one never undoes a newer one
+    # ---- facts about members: each carries the time at which it was true, so an older one never undoes a
+    # newer one
     def on_listing(self, listing: interface.Listing) -> None:
         """Take over the member list, or retry a failed call to it.
 
-        Retries wait for a growing time with jitter, so that the calls of all routers are spread after an outage of
-        discovery. A member that a complete list leaves out is gone.
+        Retries wait for a growing time with jitter, so that the calls of all routers are spread after an
+        outage of discovery. A member that a complete list leaves out is gone.
         """
         if listing.kind is interface.ListKind.FAILED:
             ask_within = min(MAX_ASK_WITHIN, self.settings.ask_within)
@@ -271,8 +281,9 @@
     def on_entry(self, entry: interface.Entry) -> None:
         """Add or update one member of the list.
 
-        A restart clears the member's failures, and the member's role as primary unless a newer fact confirms it,
-        because a restarted primary comes back as a replica. The list names the primary only while none is known.
+        A restart clears the member's failures, and the member's role as primary unless a newer fact confirms
+        it, because a restarted primary comes back as a replica. The list names the primary only while none is
+        known.
         """
         group = self.groups.setdefault(entry.group, Group())
         member = self.members.get(entry.member)
@@ -289,7 +300,7 @@
             self.record_primary(member, group.primary_known_at)
 
     def set_state(self, member: Member, state: State) -> None:
-        """Set what the list says of a member; a member that is gone is forgotten once it has no attempts in flight.
+        """Set what the list says of a member; one that is gone is forgotten once its last attempt has ended.
 
         Where only draining binds, a ready member that vanishes from the list stays in use.
         """
@@ -332,7 +343,7 @@
             (self.record_primary if report.primary else self.record_replica)(member, role_at)
 
     def record_primary(self, member: Member, at: float) -> None:
-        """Make a ready member its group's primary, if no newer fact on its role or on the primary is known."""
+        """Make a ready member its group's primary, if nothing newer is known of its role or the primary."""
         group = member.group
         if at < max(group.primary_known_at, member.role_known_at) or member.state is not State.READY:
             return
@@ -374,7 +385,7 @@
             self.actions.append(interface.Probe(member.name))
 
     def on_outcome(self, event: interface.Outcome) -> None:
-        """Record how an attempt ended, route its request again if that is still open, and retry held requests."""
+        """Record how an attempt ended, route its request again if that is pending, retry held requests."""
         pending = self.requests.get(event.request)
         member = self.members.get(event.member)
         if member is None:
@@ -395,8 +406,8 @@
     def record_outcome(self, member: Member, event: interface.Outcome, pending: Pending | None) -> float:
         """Update what is known of a member and its class by the end of an attempt; return when that was sent.
 
-        Covers the sums over attempts in flight, health, load, role, position, measured latency and pace, and the
-        position of the session's last write.
+        Covers the sums over attempts in flight, health, load, role, position, measured latency and pace, and
+        the position of the session's last write.
         """
         known = member.flying.pop((event.request, event.attempt), None)
         sent_at, usual_latency, load = known or (self.now - event.latency, math.inf, 1.0)
@@ -464,7 +475,7 @@
 
     # ---- routing
     def on_request(self, request: interface.Request) -> None:
-        """Take in a new request: set how recent its member must be and until when it may be sent, and route it.
+        """Route a new request, after setting how recent its member must be and until when it may be sent.
 
         A request of an unknown class, or past its deadline, is refused at once.
         """
@@ -513,7 +524,7 @@
         self.route(pending)
 
     def is_long_read(self, request_class: interface.RequestClass) -> bool:
-        """Whether reads of a class take much longer than others, so that they are kept to the first replicas."""
+        """Whether reads of a class take much longer than others and are kept to the first replicas."""
         usual = self.usual
         return request_class.need is Need.ANY and (
             usual[request_class.name] > LONG_READ_LATENCY_FACTOR * min(usual.values())
@@ -532,8 +543,8 @@
     def may_repeat(self, pending: Pending, wait: float = 0.0) -> bool:
         """Rule 2, no effect twice: whether a request may be sent again `wait` seconds from now.
 
-        That is so if nothing of it can have run, if its class is safe, or while members still discard repeats of a
-        keyed request. It holds for attempts of this router as well as for a retry by the client.
+        That is so if nothing of it can have run, if its class is safe, or while members still discard repeats
+        of a keyed request. It holds for attempts of this router as well as for a retry by the client.
         """
         request_class = pending.request_class
         may_have_run_at = pending.may_have_run_at
@@ -547,12 +558,12 @@
     def choose_member(self, pending: Pending) -> Member | None:
         """Choose the member for the next attempt; None to hold the request until more is known.
 
-        Writes and fresh reads go to the primary alone. While no primary is known, a write is sent to members in turn:
-        one that is no primary turns it away untouched, and the primary takes it.
+        Writes and fresh reads go to the primary alone. While no primary is known, a write is sent to members
+        in turn: one that is no primary turns it away untouched, and the primary takes it.
 
-        Other reads go to the less loaded of two healthy replicas that are known to be recent enough. Without such a
-        replica they go to the primary if that is uncrowded or if no replica is recent enough, and else to a replica
-        that looks unhealthy.
+        Other reads go to the less loaded of two healthy replicas that are known to be recent enough. Without
+        such a replica they go to the primary if that is uncrowded or if no replica is recent enough, and else
+        to a replica that looks unhealthy.
         """
         group = pending.group
         primary = group.primary
@@ -568,8 +579,8 @@
                 return target
             if primary is not None or pending.request_class.need is Need.FRESH:
                 return None
-            # A small fleet tries each member once. A large one does not probe for the primary, so it goes round the
-            # members again and again until one attempt is left, which is kept for the primary.
+            # A small fleet tries each member once. A large one does not probe for the primary, so it goes
+            # round the members again and again until one attempt is left, which is kept for the primary.
             search_interval = (
                 LARGE_FLEET_REPORT_LIFETIME_FACTOR * REPORT_LIFETIME_SHORTEST_AIMS * self.shortest_aim
             )
@@ -610,8 +621,8 @@
                     needs_position and member.name == long_read_member,
                 )
             )
-        # In a large fleet, once a probed replica is not recent enough, the primary is used instead of one more probe,
-        # as long as it has room.
+        # In a large fleet, once a probed replica is not recent enough, the primary is used instead of one
+        # more probe, as long as it has room.
         primary_has_room = (
             self.is_large_fleet
             and primary is not None
@@ -648,8 +659,8 @@
             and not (self.is_large_fleet and member.overloaded_at > member.reported)
         ]
         untried_primary = primary if primary not in pending.tried else None
-        # Requests that only the primary can serve come first, so reads use it only if it is uncrowded or if there is
-        # no other member.
+        # Requests that only the primary can serve come first, so reads use it only if it is uncrowded or if
+        # there is no other member.
         primary_uncrowded = (
             not self.is_large_fleet
             and untried_primary is not None
@@ -672,10 +683,11 @@
         return max(len(member.flying), member.load)
 
     def awaits_report(self, member: Member, min_position: float = -math.inf) -> bool:
-        """Whether to wait for a report of a member before sending to it; probes the member if its report is too old.
+        """Whether to wait for a report of a member before sending to it; probes it if its report is too old.
 
-        A router that sends little knows little of a member's load, role and position, and a wrong attempt costs more
-        than a probe. The wait ends after one tick without a report, except for a member that was overloaded.
+        A router that sends little knows little of a member's load, role and position, and a wrong attempt
+        costs more than a probe. The wait ends after one tick without a report, except for a member that was
+        overloaded.
         """
         catch_up_delay = min(
             FAILURE_MEMORY_SHORTEST_AIMS * self.shortest_aim,
@@ -715,8 +727,8 @@
     def is_recent_enough(self, member: Member, min_position: float) -> bool:
         """Whether a member may serve a read that needs `min_position`: rule 5.
 
-        Its position has to be proven. Where members check reads themselves, it suffices that the member was not found
-        to be further behind than that.
+        Its position has to be proven. Where members check reads themselves, it suffices that the member was
+        not found to be further behind than that.
         """
         return member.position >= min_position or (
             self.settings.members_check and self.now - min_position > member.replication_lag
@@ -743,7 +755,7 @@
             )
 
     def cancel_if_unhealthy(self, pending: Pending, attempt: int) -> None:
-        """Cancel an overdue attempt at a member that looks unhealthy; its outcome lets the request go elsewhere."""
+        """Cancel an overdue attempt at an unhealthy member; its outcome lets the request go elsewhere."""
         if (
             (member := pending.in_flight.get(attempt))
             and self.settings.may_cancel
@@ -754,7 +766,8 @@
     def holds(self, now: float, request: int, attempt: int) -> bool:
         """Whether an attempt that waited for its connection may still be sent at the clock time `now`.
 
-        Checks rule 2 (no effect twice) and rule 5 (no stale read) again, as time has passed since the decision.
+        Checks rule 2 (no effect twice) and rule 5 (no stale read) again, as time has passed since the
+        decision.
         """
         self.now = now
         pending = self.requests.get(request)
@@ -770,8 +783,8 @@
     def give_up(self, pending: Pending) -> None:
         """Give a request its one final answer now: refused if its client may retry it, else failed.
 
-        A keyed request that may have run and whose repeats only its own group discards is not left to the client,
-        whose retry may go to another group.
+        A keyed request that may have run and whose repeats only its own group discards is not left to the
+        client, whose retry may go to another group.
         """
         request_class = pending.request_class
         retry_after = self.settings.max_retry_after
@@ -790,7 +803,7 @@
         self.remove_request(pending)
 
     def remove_request(self, pending: Pending, cancel: bool = True) -> None:
-        """Drop a request that needs no answer any more, and cancel its attempts if `cancel` is set and allowed."""
+        """Drop a request that needs no more answer; cancel its attempts if `cancel` is set and allowed."""
         pending.group.held[pending.request_class.name].pop(pending.request.id, None)
         self.requests.pop(pending.request.id, None)
         if cancel and self.settings.may_cancel:
@@ -802,7 +815,8 @@
     def hold(self, pending: Pending) -> None:
         """Keep a request until it can be sent, or give it up if its time ends before the next check.
 
-        A request that reached no member is held for less time than one that did, and its client retries later.
+        A request that reached no member is held for less time than one that did, and its client retries
+        later.
         """
         group = pending.group
         hold_end = pending.send_cutoff if pending.reached_member else pending.hold_until
@@ -821,14 +835,14 @@
             self.schedule(TICK_SHORTEST_AIMS * self.shortest_aim, lambda: self.maintain_held_requests(group))
 
     def maintain_held_requests(self, group: Group) -> None:
-        """Periodic check while requests are held: look for a primary, give up what runs out of time, retry some."""
+        """Check held requests: look for a primary, give up those that run out of time, retry some."""
         group.check_scheduled = False
         if any(group.held.values()) and (group.primary is None or not self.healthy(group.primary)):
             self.probe_all(group, 4 * TICK_SHORTEST_AIMS * self.shortest_aim)
         next_check_at = self.now + TICK_SHORTEST_AIMS * self.shortest_aim
         while group.hold_ends and group.hold_ends[0][0] <= next_check_at:
             if (pending := self.requests.get(heappop(group.hold_ends)[1])) is not None:
-                pending.in_hold_ends = False  # a request in flight is not held again when it comes back
+                pending.in_hold_ends = False  # a request in flight is past its time to be held
                 if pending.request.id in group.held[pending.request_class.name]:
                     self.hold(pending)  # gives it up if its time ends before the next check
         self.retry_held_requests(group, MAX_MISSES_PER_TICK)
@@ -843,9 +857,9 @@
     ) -> None:
         """Route held requests again, the class with the most worth for its work first.
 
-        Of each class at most `max_misses` are tried in vain; these move to the end of their queue, so all have their
-        turn. News of a `reporting_member` other than the known primary cannot help requests that only the primary
-        may serve, so those are not tried for it.
+        Of each class at most `max_misses` are tried in vain; these move to the end of their queue, so all
+        have their turn. News of a `reporting_member` other than the known primary cannot help requests that
+        only the primary may serve, so those are not tried for it.
         """
         is_replica_news = (
             reporting_member is not None
@@ -870,11 +884,12 @@
         return 1.0 if age >= cold_time else cold_share + (1 - cold_share) * max(0.0, age) / cold_time
 
     def admits(self, pending: Pending, member: Member) -> bool:
-        """Whether a member may get a new request: rule 3 (drains are kept) and rule 4 (no cold member overloaded).
+        """Whether a member may get a new request by rule 3 (drains) and rule 4 (cold members).
 
-        A cold member takes a share of the requests that grows with its warmth. Each request keeps its draw, so a wait
-        or a retry does not draw again and all routers together keep to the share. In a large fleet the share of
-        requests that only a primary may serve is raised if they are fewer than an even part of the load.
+        A cold member takes a share of the requests that grows with its warmth. Each request keeps its draw,
+        so a wait or a retry does not draw again and all routers together keep to the share. In a large fleet
+        the share of requests that only a primary may serve is raised if they are fewer than an even part of
+        the load.
         """
         warm_share = self.warm_share(member)
         admitted_share = COLD_ADMISSION_SHARE * self.settings.fall_multiple * warm_share
@@ -890,7 +905,7 @@
         return (self.current_load(member) + 1) * self.pace_time / self.pace_load / self.warm_share(member)
 
     def update_answer_rate(self, member: Member, answered_work: float = 0.0) -> float:
-        """Decay a member's answer rate to the present, add answered work (seconds of usual latency), return it."""
+        """Decay a member's answer rate, add answered work (seconds of usual latency), and return the rate."""
         span = ANSWER_RATE_SPAN_SHORTEST_AIMS * self.shortest_aim
         elapsed = self.now - member.answer_rate_at
         member.rate = member.rate * math.exp(-elapsed / span) + answered_work / span
@@ -900,9 +915,9 @@
     def has_capacity(self, pending: Pending, member: Member) -> bool:
         """Whether a member is expected to answer one more request in time; otherwise the request waits here.
 
-        For a member with attempts of this router in flight, the rate at which it answers them decides. For others
-        and for uncrowded ones the pace of all members at its reported load decides, and classes with more worth for
-        their work may use more of the capacity.
+        For a member with attempts of this router in flight, the rate at which it answers them decides. For
+        others and for uncrowded ones the pace of all members at its reported load decides, and classes with
+        more worth for their work may use more of the capacity.
         """
         request_class = pending.request_class
         expected_latency = self.expected_latency(member)
@@ -921,8 +936,8 @@
     def is_unresponsive(self, member: Member) -> bool:
         """Whether a member seems to hang, to be down or to be cut off.
 
-        That is so after a refused connection, if the answers to all attempts in flight are overdue, or for a primary
-        whose position stands still though it may answer probes.
+        That is so after a refused connection, if the answers to all attempts in flight are overdue, or for a
+        primary whose position stands still though it may answer probes.
         """
         connect_failed = (
             self.now - member.connect_failed_at < REPORT_LIFETIME_SHORTEST_AIMS * self.shortest_aim
