--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -12,7 +12,7 @@
 from banklift.decide.offsets import Standing
 from banklift.interface import Effect, State
 from banklift.proxy import events as ev
-from banklift.proxy.machine import Attempt, Machine, Open
+from banklift.proxy.machine import Attempt, Machine, PendingRequest
 from banklift.proxy.plan import Config, Limits
 from banklift.proxy.wire import Ask
 from banklift.resp.frames import command
@@ -378,7 +378,7 @@
     rig.tell(ev.LinkData(rig.up("p:1"), b"+OK\r\n" + info(True, 50)))
     assert rig.machine.timers  # they would hold it
     gc.collect()
-    assert not [each for each in gc.get_objects() if isinstance(each, Attempt | Open | Single)]
+    assert not [each for each in gc.get_objects() if isinstance(each, Attempt | PendingRequest | Single)]
 
 
 def test_wait_waits_for_replicas() -> None:
@@ -610,9 +610,9 @@
     rig = Rig()
     rig.ask("SET", "pick:1", "a")
     node = rig.machine.nodes["p"]
-    assert node.opening == 1
+    assert node.connecting == 1
     rig.tell(ev.LinkLost(rig.link("p:1"), "refused"))
-    assert node.opening == len([link for link in node.links.values() if not link.up])
+    assert node.connecting == len([link for link in node.links.values() if not link.up])
 
 
 def test_a_member_that_is_listed_no_more_gets_nothing_and_its_links_go() -> None:
@@ -715,7 +715,7 @@
         track.learn("p", Standing(True, 40, replid=A), rig.now - age, rig.now)
         track.learn("p", Standing(True, 90, replid=A), rig.now - 0.1, rig.now)
         attempt = Attempt(
-            Open(
+            PendingRequest(
                 1,
                 Ask(
                     1,
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -16,7 +16,7 @@
 from banklift.net.service import BadConfig, Service, Start, parse
 from banklift.net.sockets import SocketEnv
 from banklift.pg import frames
-from banklift.proxy.machine import RETRANSMITTED
+from banklift.proxy.machine import LATE_CONNECT_GRACE
 from tests.platform_site import SETTINGS, Caller, Site, code, value
 
 NO_PROBES: dict[str, Any] = {**SETTINGS, "allowed": {**SETTINGS["allowed"], "probing": False}}
@@ -147,9 +147,9 @@
     caller.say(frames.query(site.write("k", "02").encode()), 0.1)
     opening = [link for link in site.machine.links.values() if not link.up]
     assert opening
-    site.run(2.0 + site.start.connect + RETRANSMITTED)
+    site.run(2.0 + site.start.connect + LATE_CONNECT_GRACE)
     assert not any(link.id in site.machine.links for link in opening)
-    assert not site.machine.nodes["p"].opening and not site.machine.hungry
+    assert not site.machine.nodes["p"].connecting and not site.machine.awaiting_link
     site.world.late.clear()
     assert code(caller.told()) == "53300"
     assert value(Caller(site).ask(site.write("k", "03"), 0.5)) == b"\x03"
@@ -207,7 +207,7 @@
     assert value(caller.told()) == b"\x02"
     site.run(1.0)  # the late one is up by now, and of use
     assert value(Caller(site).ask(site.write("k", "03"))) == b"\x03"
-    assert not any(node.opening for node in site.machine.nodes.values())
+    assert not any(node.connecting for node in site.machine.nodes.values())
     site.balanced()
 
 
