--- a/banklift/proxy/events.py
+++ b/banklift/proxy/events.py
@@ -1,8 +1,11 @@
-"""What the router's machine is told and what it asks for. Times are seconds on the router's clock.
+"""The events that `Machine.handle` takes and the actions that it returns.
 
-Ids of clients and links are numbers that the caller (clients) or the machine (links) gives and never uses again. The
-caller may be a shell on sockets or an emulator in virtual time; it owns the clock, the network and the randomness.
-After every event it looks at `Machine.wake` and calls `Machine.handle` with `Wake` at that time or later.
+Times are seconds on the router's clock, durations seconds. `client` and `link` are ids of connections from clients and
+to members: numbers that are never used again, chosen by the caller for clients and by the machine for links.
+
+The caller owns the clock, the network and the source of randomness: either real sockets (banklift/net) or an emulator
+in virtual time (banklift/emulator). After each event it calls `Machine.handle` with `Wake` at the time `Machine.wake`,
+or as soon after it as it can.
 """
 
 from __future__ import annotations
@@ -14,102 +17,111 @@
 
 
 class ClientOpened(msgspec.Struct, frozen=True, gc=False):
+    """A client has connected."""
+
     client: int
 
 
 class ClientData(msgspec.Struct, frozen=True, gc=False):
+    """Bytes have arrived from a client."""
+
     client: int
     data: bytes
-    since: float | None = None  # it may have been sent as long ago as this; None: just now
+    since: float | None = None  # the earliest time at which they may have been sent; None: now
 
 
 class ClientHalfClosed(msgspec.Struct, frozen=True, gc=False):
-    """It sends no more, while it is paused; what it sent before may be unread."""
+    """A client that is paused has shut its sending side; bytes that it sent before may be unread."""
 
     client: int
 
 
 class ClientEof(msgspec.Struct, frozen=True, gc=False):
-    """It sends no more, and may still read."""
+    """A client has shut its sending side, and all that it sent was reported. It may still read answers."""
 
     client: int
 
 
 class ClientLost(msgspec.Struct, frozen=True, gc=False):
+    """A client's connection is gone, in both directions."""
+
     client: int
 
 
 class ClientFull(msgspec.Struct, frozen=True, gc=False):
-    """It does not read its answers."""
+    """Unsent answers to a client pile up, as it does not read them."""
 
     client: int
 
 
 class ClientFree(msgspec.Struct, frozen=True, gc=False):
-    """It has read them."""
+    """The unsent answers to a client have gone down again after `ClientFull`."""
 
     client: int
 
 
 class LinkUp(msgspec.Struct, frozen=True, gc=False):
+    """The connection of a link is established."""
+
     link: int
 
 
 class LinkData(msgspec.Struct, frozen=True, gc=False):
+    """Bytes have arrived from a member."""
+
     link: int
     data: bytes
 
 
 class LinkLost(msgspec.Struct, frozen=True, gc=False):
-    """It could not be opened, or broke."""
+    """A link could not be opened, or was closed or broken by the other end."""
 
     link: int
-    reason: str
+    reason: str  # for the log
 
 
 class Drain(msgspec.Struct, frozen=True, gc=False):
-    """This router ends soon: whatever comes from now on is answered by `end`."""
+    """The router begins to drain: everything pending or still to come gets its final answer by the time `end`."""
 
     end: float
 
 
 class Leave(msgspec.Struct, frozen=True, gc=False):
-    """This router ends: what is open is answered, and connections go as soon as nothing is open on them."""
+    """The router stops: pending requests are answered, and each connection is closed once nothing is pending on it."""
 
 
 class Wake(msgspec.Struct, frozen=True, gc=False):
-    pass
+    """The time `Machine.wake` has come."""
 
 
 class Adopt(msgspec.Struct, frozen=True):
-    """Take requests under these settings and limits from now on; what is open keeps what it was taken under. `plan`:
-    what the front of this protocol has for it."""
+    """Apply a new configuration to requests from now on; pending requests keep theirs."""
 
     settings: Settings
     limits: Limits
-    plan: object
+    plan: object  # the front's part of the configuration, see `Front.adopt`
 
 
 class Until(msgspec.Struct, frozen=True):
-    """Requests may be taken up to that time; later ones are refused at once, to come back after so many seconds."""
+    """Requests are accepted until `time`, the end of a lease. Later ones are refused at once."""
 
     time: float
-    back: float
+    back: float  # retry-after of refused requests, in seconds
 
 
 class Listed(msgspec.Struct, frozen=True):
-    """One member as a roster tells it."""
+    """One member in a roster."""
 
     name: str
     group: int
-    address: str
+    address: str  # host:port
     state: State = State.READY
     primary: bool = False
-    started: float | None = None  # on the router's clock
+    started: float | None = None  # when it started; None: long ago
 
 
 class Roster(msgspec.Struct, frozen=True):
-    """Every member there is now; or what `kind` says. Of changes, members that are gone are named as such."""
+    """The list of members, whole or as `kind` says. A list of changes names removed members with the state `GONE`."""
 
     members: tuple[Listed, ...] = ()
     kind: ListKind = ListKind.FULL
@@ -136,51 +148,59 @@
 
 
 class ToClient(msgspec.Struct, frozen=True, gc=False):
+    """Send bytes to a client."""
+
     client: int
     data: bytes
 
 
 class CloseClient(msgspec.Struct, frozen=True, gc=False):
-    """Close it once what was written has gone out. `away`: what it still sends asks for nothing."""
+    """Close a client's connection once everything written to it was sent."""
 
     client: int
-    away: bool = False
+    away: bool = False  # what it still sends can't be a request, and may be read and dropped
 
 
 class PauseClient(msgspec.Struct, frozen=True, gc=False):
-    """Read it no more until `ResumeClient`."""
+    """Stop reading from a client until `ResumeClient`."""
 
     client: int
 
 
 class ResumeClient(msgspec.Struct, frozen=True, gc=False):
+    """Read from a paused client again."""
+
     client: int
 
 
 class OpenLink(msgspec.Struct, frozen=True, gc=False):
+    """Connect a new link; `LinkUp` or `LinkLost` follows."""
+
     link: int
-    address: str
+    address: str  # host:port of the member
 
 
 class ToLink(msgspec.Struct, frozen=True, gc=False):
+    """Send bytes on a link."""
+
     link: int
     data: bytes
 
 
 class CloseLink(msgspec.Struct, frozen=True, gc=False):
-    """Close it at once; nothing of it is to be told any more."""
+    """Close a link at once, and report no more events of it."""
 
     link: int
 
 
 class AskRoster(msgspec.Struct, frozen=True, gc=False):
-    """Ask for the list of members: for its changes from now on, or once for the whole."""
+    """Request the list of members; `Roster` follows."""
 
-    watch: bool
+    watch: bool  # for its changes from now on; if false, for the whole list once
 
 
 class Note(msgspec.Struct, frozen=True):
-    """A line for the log."""
+    """Write a line to the log."""
 
     event: str
     fields: dict[str, object]
--- a/banklift/proxy/wire.py
+++ b/banklift/proxy/wire.py
@@ -1,6 +1,12 @@
-"""What the core asks of a protocol: frames in and out, how an answer reads, what members tell of role and position.
+"""The interfaces between the core (machine.py) and the protocols: RESP (banklift/resp) and PostgreSQL's (banklift/pg).
 
-RESP and PostgreSQL's protocol implement it. The core knows requests, attempts and links, and no protocol.
+The core knows requests, attempts and links, and is independent of any protocol. A protocol implements
+
+- `Wire`, `Reader` and `Exchange`: how links to members are framed, how a request is sent and what its answer means;
+- `Proofs`: what members report about their role and position, and what that proves about their answers;
+- `Front`: the connections of clients.
+
+The data classes are what the two sides exchange. Times and durations are seconds, times on the router's clock.
 """
 
 from __future__ import annotations
@@ -20,171 +26,198 @@
     """Splits what a member sends into frames."""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Errors: `BrokenFrame` if the stream can't be read on."""
+        """Add received bytes; return the frames that are complete now, in order.
+
+        Raises `BrokenFrame` if the stream violates the protocol and can't be read any further.
+        """
 
     @property
     def clean(self) -> bool:
-        """Whether nothing is left over that belongs to no whole frame and could be part of an answer."""
+        """Whether no received bytes remain that could be the beginning of another answer."""
 
 
 class BrokenFrame(Exception):
-    """The other end broke the protocol."""
+    """A member sent bytes that violate the protocol."""
 
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    """What the module hears of a member with the end of an attempt."""
+    """What an attempt showed about its member, for the balancer; None where it showed nothing."""
 
-    primary: bool | None = None
-    position: float | None = None  # of a write that went through: its commit
+    primary: bool | None = None  # whether the member is a primary
+    position: float | None = None  # of the member, or the commit of a write that succeeded
     report: Report | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """What the frames of one exchange mean."""
+    """What the answer to one exchange means."""
 
     status: Status
-    answer: bytes = b""
-    standing: Standing | None = None
-    after: Standing | None = None  # of a read that asked on both sides: where the member stood behind it
-    told: Told | None = None  # where answers tell without being asked
-    closes: bool = False  # the member will say no more on this link
+    answer: bytes = b""  # for the client
+    standing: Standing | None = None  # the answer to the status query
+    after: Standing | None = None  # of a read with a second status query behind it: that query's answer
+    told: Told | None = None  # in protocols whose answers carry the member's status unasked
+    closes: bool = False  # the link can't be used again
 
 
 class Question(IntEnum):
-    """What a member is asked about itself together with a request: of a read in front of it, so that it is at least as
-    new as what is proven, of a write behind it, so that its mark holds it."""
+    """The status query that is sent to a member together with a request.
+
+    A read has it in front, so the data it reads is at least as new as the position that the query proves. A write has
+    it behind, so the position that the query returns includes the write.
+    """
 
     NONE = 0
     STANDING = 1  # role and position
-    HISTORY = 2  # these and its history
-    BOTH = 3  # of a read, role and position behind it as well: what it showed is no newer than that
-    HISTORY_BOTH = 4
+    HISTORY = 2  # role, position and replication history
+    BOTH = (
+        3  # for reads: `STANDING` in front, and role and position behind, which bound how new the data can be
+    )
+    HISTORY_BOTH = 4  # for reads: `HISTORY` in front, and role and position behind
 
 
 class Exchange(Protocol):
-    """One request as a member gets it."""
+    """One request in the form in which it is sent to a member."""
 
     @property
     def flavour(self) -> int:
-        """Only links of the same flavour carry it."""
+        """The kind of link that can carry it, such as the protocol's version; 0 or above."""
 
     def payload(self, question: Question, left: float = 0.0) -> bytes:
-        """The bytes to send. `left`: seconds that the router will wait for the answer."""
+        """The bytes to send, with the status query. `left`: seconds that the router will wait for the answer."""
 
     def frames(self, question: Question) -> int:
-        """How many frames answer it."""
+        """How many frames answer it and the status query."""
 
     def read(self, frames: list[bytes], question: Question) -> Result | None:
-        """What the frames so far mean; None while more are needed."""
+        """The meaning of the frames received so far; None while more are needed."""
 
     def cut(self, frames: list[bytes], question: Question) -> Result | None:
-        """The answer, if a link that broke had already brought it; None if not."""
+        """The result of an exchange whose link broke, if the frames already tell it; None if not."""
 
 
 class Wire(Protocol):
-    """A protocol, as links to members speak it."""
+    """A protocol on the links to members."""
 
-    def reader(self) -> Reader: ...
+    def reader(self) -> Reader:
+        """A reader for a new link."""
 
     def greeting(self, flavour: int) -> tuple[bytes, int]:
-        """What a new link sends first, and how many frames answer it."""
+        """The bytes that a new link of this flavour sends first, and the number of frames that answer them."""
 
     def greeted(self, frame: bytes) -> bool:
-        """Whether a frame that answers the greeting is a yes."""
+        """Whether a frame that answers the greeting accepts the link."""
 
     def aside(self, frame: bytes) -> bool:
-        """Whether a frame answers nothing that was asked."""
+        """Whether a frame is an unsolicited message, which is skipped."""
 
     def probe(self) -> bytes:
-        """The question for role, history and position; one frame answers it."""
+        """The bytes that ask a member for its role, position, history and load, as far as the protocol has them.
+
+        One frame answers them.
+        """
 
     @property
     def probes_apart(self) -> bool:
-        """Whether probes need a link that carries no requests."""
+        """Whether probes have a link of their own, which carries no requests."""
 
     @property
     def probes_in_line(self) -> bool:
-        """Whether a link takes another probe before it has answered the one before."""
+        """Whether several probes may be sent on a link before the first is answered."""
 
     @property
     def rest(self) -> float:
-        """Seconds that a link rests after an answer; what comes meanwhile was not asked for, and it is closed."""
+        """Seconds after an answer in which a link carries no new request.
+
+        Bytes that arrive in that time belong to no request, and the link is closed.
+        """
 
     @property
     def whole_within(self) -> float:
-        """Seconds from an answer's first byte until all of it is there; infinite where that says nothing. After that
-        its link is lost."""
+        """Seconds from the first byte of an answer after which the link counts as lost if the answer is incomplete.
+
+        Infinite if the protocol has no such limit.
+        """
 
     def proofs(self, core: Machine, groups: int) -> Proofs:
-        """What is known of the members of this router, by this protocol."""
+        """Create what a router keeps about its members. `groups`: the number of groups, where the protocol needs it."""
 
 
 class Proofs(Protocol):
-    """What members tell of themselves, and what that proves about their answers."""
+    """What members report about their role and position, and what that proves about their answers.
+
+    One object serves all members of a router.
+    """
 
     def lore(self) -> object:
-        """What is kept of one member (`Node.lore`), when nothing is known of it."""
+        """The initial state for a new member, kept in `Node.lore`."""
 
     def since_write(self, ask: Ask, now: float) -> float | None:
-        """Of a session's read: seconds since the last commit that it must see. None: no such commit."""
+        """For a session's read: seconds since the last commit that it must see; None if there is no such commit."""
 
     def question(self, attempt: Attempt, fresh: bool) -> Question:
-        """An attempt is being written. `fresh`: it is the first on its link."""
+        """Choose the status query for an attempt that is about to be written. `fresh`: nothing was sent on its link."""
 
     def judge(self, attempt: Attempt, result: Result) -> Judged:
-        """What its answer means, once all of it is there."""
+        """Interpret the complete answer of an attempt."""
 
     def cut(self, attempt: Attempt, result: Result) -> Served:
-        """The same of one that a link had brought before it broke."""
+        """Interpret a successful answer that had arrived before its link broke."""
 
     def early(self, attempt: Attempt) -> None:
-        """The first frame of an answer to a question is there, the rest is not."""
+        """Use the first frame of an attempt with a status query, before the rest of its answer has arrived."""
 
     def probing(self, node: Node) -> None:
-        """The module asks for a probe of it."""
+        """The balancer is about to probe a member; other members may be probed with it."""
 
     def probed(self, node: Node, asked: float, frame: bytes) -> None:
-        """It has answered: `Machine.report` or `Machine.probe_failed` is to be called once, now or soon."""
+        """Handle the answer to a probe that was asked for at `asked`.
+
+        Calls `Machine.report` or `Machine.probe_failed` once, now or soon.
+        """
 
     def probes_failed(self, node: Node) -> None:
-        """It has not answered; the module knows."""
+        """A member's probes got no answer; the balancer was told."""
 
     def forget(self, node: Node) -> None:
-        """It is listed no more."""
+        """Drop what is known about a member that was removed."""
 
 
 @dataclass(slots=True)
 class Ask:
-    """A request that a front gives to the core; the core calls `done` once."""
+    """A request as a front submits it. The core calls `Front.done` once for it, unless the front abandons it."""
 
-    client: int
+    client: int  # id of the client's connection
     kind: RequestClass
     group: int
     exchange: Exchange
-    seen: Seen | None = None  # a session's read: what it must hold
-    current: bool = False  # a session's read of which nothing is known: all commits before its arrival
+    seen: Seen | None = None  # for a session's read: the writes and reads that it must reflect
+    current: bool = (
+        False  # for a session's read without known history: it must see all commits before its arrival
+    )
     tenant: str | None = None
-    arrived: float = 0.0  # when it came in; its deadline counts from here
-    deadline: float | None = None  # its own; None: its class's
-    # a session's read with a position of its own: seconds since the commit it must see
+    arrived: float = 0.0  # when it arrived; the class's deadline counts from here
+    deadline: float | None = None  # a time that replaces the class's deadline
+    # for a session's read whose client states a position: seconds since the commit that it must see
     since: float | None = None
     session: int | None = None
-    again: bool = False  # its client has tried it before
-    label: bytes = b""  # what its client calls it, for the log
-    ids: list[int] = field(default_factory=list)  # of the request, once it is taken
+    again: bool = False  # the client marks it as a retry
+    label: bytes = b""  # the client's id of the request, for the log
+    ids: list[int] = field(default_factory=list)  # the request's id is added when it is accepted
 
 
 @dataclass(frozen=True, slots=True)
 class Served:
+    """Final answer: a member's answer."""
+
     answer: bytes
-    seen: Seen | None = None  # what its session has seen from now on
+    seen: Seen | None = None  # what the session has seen with this answer; None: nothing to remember
 
 
 @dataclass(frozen=True, slots=True)
 class Judged:
-    """What the end of an attempt means. `served`: what its client gets, if it gets this."""
+    """How an attempt with a complete answer ended. `served`: the answer that its client may get."""
 
     status: Status
     told: Told
@@ -193,44 +226,52 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Safe to send again. `touched`: a member got it and did not turn it away, so it may have run."""
+    """Final answer: refused, and safe to send again.
+
+    `touched`: a member received the request and did not say that nothing ran, so it may have run.
+    """
 
-    retry_after: float
+    retry_after: float  # seconds after which the client may try again
     touched: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """It may have run, and is not safe to send again."""
+    """Final answer: the request may have run, and is not safe to send again."""
 
 
 Final = Served | Refused | Failed
 
 
 class Front(Protocol):
-    """Client connections in one protocol."""
+    """The connections of clients, in one protocol. `client` is a connection's id."""
 
-    def opened(self, client: int) -> None: ...
+    def opened(self, client: int) -> None:
+        """A client has connected."""
 
-    def data(self, client: int, data: bytes) -> None: ...
+    def data(self, client: int, data: bytes) -> None:
+        """Bytes have arrived from a client."""
 
-    def eof(self, client: int) -> None: ...
+    def eof(self, client: int) -> None:
+        """A client has shut its sending side, and everything that it sent was read."""
 
     def half_closed(self, client: int) -> None:
-        """It sends no more, but is paused: what it sent before may be unread."""
+        """A paused client has shut its sending side; bytes that it sent before may be unread."""
 
-    def lost(self, client: int) -> None: ...
+    def lost(self, client: int) -> None:
+        """A client's connection is gone."""
 
     def full(self, client: int, is_full: bool) -> None:
-        """Its answers pile up, or do so no more: nothing new is begun for it in between."""
+        """A client does not read its answers, or reads them again; nothing new is started for it in between."""
 
-    def done(self, ask: Ask, final: Final) -> None: ...
+    def done(self, ask: Ask, final: Final) -> None:
+        """A request has its final answer."""
 
     def adopt(self, plan: object) -> None:
-        """Requests are taken under another plan from now on."""
+        """Apply a new configuration to the requests that arrive from now on."""
 
     def drain(self) -> None:
-        """This router ends at `core.end`; until `leave` whatever comes is taken."""
+        """The router stops at `core.end`; requests are still accepted until `leave`."""
 
     def leave(self) -> None:
-        """Close what has nothing open, and the rest as soon as it has nothing open."""
+        """Close each connection as soon as no request is pending on it."""
