--- a/banklift/discovery/__init__.py
+++ b/banklift/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Who is a member, asked of a catalogue over HTTP."""
+"""Discovery of members: a client of the platform's catalogue over HTTP."""
--- a/banklift/discovery/catalogue.py
+++ b/banklift/discovery/catalogue.py
@@ -1,6 +1,6 @@
-"""The catalogue's lists, read into what the machine knows.
+"""Parses the catalogue's lists of members and converts them to rosters.
 
-Source of the form: the platform's page on its protocol. A list is taken whole or not at all.
+The format is the platform's catalogue protocol. A list with any invalid entry is rejected as a whole.
 """
 
 from __future__ import annotations
@@ -13,25 +13,29 @@
 from banklift.interface import ListKind, State
 from banklift.proxy.events import Listed, Roster
 
-STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
+STATES_BY_NAME = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
 
 
 class BadList(Exception):
-    """A list that can't be read; the text names place and fault."""
+    """A list of members that is invalid; the text names the place and the fault."""
 
 
 class Target(msgspec.Struct, frozen=True):
+    """One member in the catalogue's format."""
+
     uid: Annotated[str, Meta(min_length=1, max_length=256)]
     endpoint: Annotated[str, Meta(pattern=r"^[0-9A-Za-z.\[\]:-]+:[0-9]{1,5}$")]
     pod_group: Annotated[int, Meta(ge=0)]
     state: str
-    boot_ms: Annotated[float, Meta(ge=0)] = 0.0
-    access: str | None = None
+    boot_ms: Annotated[float, Meta(ge=0)] = 0.0  # start time in Unix milliseconds; 0: not known
+    access: str | None = None  # "writer" for a primary
 
 
 class Catalogue(msgspec.Struct, frozen=True):
-    rev: Annotated[int, Meta(ge=0)]
-    all: bool
+    """An answer of the catalogue."""
+
+    rev: Annotated[int, Meta(ge=0)]  # version of the list
+    all: bool  # the list is whole; if false, it has changes only
     targets: list[Target]
 
 
@@ -39,44 +43,45 @@
 
 
 def read(data: bytes | bytearray) -> Catalogue:
-    """Errors: `BadList`."""
+    """Parse an answer of the catalogue (JSON). Raises `BadList` if it is invalid."""
     try:
         catalogue = _DECODER.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise BadList(f"the list of members: {error}") from None
-    check(catalogue)
+    check_targets(catalogue)
     return catalogue
 
 
 def convert(value: object) -> Catalogue:
-    """The same from a list that was decoded already. Errors: `BadList`."""
+    """Check a list that was decoded from JSON already. Raises `BadList` if it is invalid."""
     try:
         catalogue = msgspec.convert(value, Catalogue)
     except msgspec.ValidationError as error:
         raise BadList(f"the list of members: {error}") from None
-    check(catalogue)
+    check_targets(catalogue)
     return catalogue
 
 
-def check(catalogue: Catalogue) -> None:
+def check_targets(catalogue: Catalogue) -> None:
+    """Check what the types can't express. Raises `BadList` for an unknown state or a repeated member."""
     seen: set[str] = set()
     for target in catalogue.targets:
-        if target.state not in STATES:
+        if target.state not in STATES_BY_NAME:
             raise BadList(f"the list of members: {target.uid} has the unknown state {target.state!r}")
         if target.uid in seen:
-            raise BadList(f"the list of members: {target.uid} stands there twice")
+            raise BadList(f"the list of members: {target.uid} is listed twice")
         seen.add(target.uid)
 
 
 def roster(catalogue: Catalogue, kind: ListKind | None = None) -> Roster:
-    """`kind`: where that isn't told by the list itself."""
+    """Convert a list to a `Roster`. `kind` replaces what the list says of itself."""
     return Roster(
         tuple(
             Listed(
                 target.uid,
                 target.pod_group,
                 target.endpoint,
-                STATES[target.state],
+                STATES_BY_NAME[target.state],
                 target.access == "writer",
                 target.boot_ms / 1000 if target.boot_ms else None,
             )
--- a/banklift/discovery/client.py
+++ b/banklift/discovery/client.py
@@ -1,23 +1,25 @@
-"""Watches a catalogue over HTTP, without I/O: events in, actions out.
-
-Theory of operation. One call is out at a time, on one connection that is kept. Asked to watch, the client asks for
-what is newer than the version it has (a long poll of `LONG_POLL`), and asks again as soon as that was answered, as a
-watch goes on only then. Asked for the whole list, it asks for that next. A call fails when its connection breaks or
-does not come up, when it gets any status but 200, when its answer can't be read, or when nothing has come
-`CALL_TIMEOUT` after its wait: the connection is closed, and the failure is told once. Whether and when to ask again is
-not decided here, but for two cases:
-
-- A watch that was silent until the end of its wait is broken, whatever the catalogue is like: it is opened anew at once
-  on a new connection, each time, as what it missed counts as told soon after its wait.
-- Where lists are pushed (`backoff`), nobody else asks: the watch is opened anew after each failure, with waits that
-  double, up to a part of the time in which a change must be heeded.
-
-An answer with an older version than the one known comes from a catalogue that began anew, or from another one: its
-changes say nothing without their base, so the whole list is asked for. An address that is told again is called anew:
-whoever tells it may do so because the call there is stuck.
-
-The caller tells `connected`, `data`, `lost` and `tick`, and carries out `actions` in order; `due` is when it wants
-`tick`. Times are seconds on the caller's clock.
+"""A client of the catalogue: it watches the list of members over HTTP, without I/O.
+
+Theory of operation. The client makes one HTTP call at a time, on one connection that it keeps. To watch, it asks for
+changes after the version that it has, as a long poll of `LONG_POLL` seconds, and calls again as soon as it has the
+answer, since the catalogue reports changes only to a pending call. To fetch, it asks for the whole list next.
+
+A call fails if its connection breaks or is not established, if its status is not 200, if its answer can't be parsed, or
+if the answer is incomplete `CALL_TIMEOUT` seconds after the end of its long poll. The connection is closed and the
+failure is reported once. Whether and when to call again is decided by the user of this class, with two exceptions:
+
+- A watch without an answer by then is broken, whatever the state of the catalogue. It is opened again at once on a new
+  connection, every time: the router counts as informed of a change soon after the long poll's end, so a pause would
+  add to the time in which it misses changes.
+- With `backoff` (the catalogue pushes lists and nobody requests them), the watch is opened again after each failure,
+  with exponential back-off up to a part of the time in which a change has to be applied.
+
+An answer with an older version than the known one comes from a catalogue that was restarted, or from another one. Its
+changes have no known base, so the whole list is fetched. `move` starts a new call even if the address is the same: it
+may be called because the current call hangs.
+
+The caller reports events with `connected`, `data`, `lost` and `tick`, and carries out `actions` in order; `due` is
+when it has to call `tick`. Times are seconds on the caller's clock.
 """
 
 from __future__ import annotations
@@ -32,52 +34,62 @@
 from banklift.interface import ListKind
 from banklift.proxy.events import Roster
 
-LONG_POLL = 4.0  # seconds that a watch's call may wait; how soon a silent catalogue is noticed depends on it
-CALL_TIMEOUT = 1.5  # seconds after that until a call has failed
-LIMIT = 8 * 1024 * 1024  # bytes of one list
+LONG_POLL = 4.0  # seconds of a watch's long poll; a silent catalogue is noticed only after its end
+CALL_TIMEOUT = 1.5  # seconds for connecting, and for an answer beyond the long poll
+MAX_LIST_BYTES = 8 * 1024 * 1024
 
 
 class Connect(msgspec.Struct, frozen=True):
+    """Open a connection to `address`, host:port; `connected` or `lost` reports the result."""
+
     address: str
 
 
 class Send(msgspec.Struct, frozen=True):
+    """Send bytes on the connection."""
+
     data: bytes
 
 
 class Close(msgspec.Struct, frozen=True):
-    pass
+    """Close the connection; nothing more is to be reported of it."""
 
 
 class Tell(msgspec.Struct, frozen=True):
-    """For the machine. `roster`: None where a failure is its own business. `reason`: of a failure."""
+    """The result of a call: a list for the machine, or a failure."""
 
-    roster: Roster | None
-    reason: str = ""
+    roster: Roster | None  # None: a failure that this client handles itself
+    reason: str = ""  # of a failure, for the log
 
 
 Action = Connect | Send | Close | Tell
 
 
 class Backoff:
-    """Waits that double from `first` to `most` seconds, with seeded jitter."""
+    """Exponential back-off from `first` up to `most` seconds, with jitter from `random`."""
 
     def __init__(self, first: float, most: float, random: Random) -> None:
         self.first, self.most, self.random = first, most, random
         self.failures = 0
 
     def next(self) -> float:
+        """Count a failure; return the seconds to wait before the next try."""
         wait = min(self.most, self.first * 2.0 ** min(self.failures, 32))
         self.failures += 1
         return wait * self.random.uniform(0.5, 1.0)
 
     def reset(self) -> None:
+        """Start over after a success."""
         self.failures = 0
 
 
 class Client:
-    """`address`: host:port. `path`: of the list. `version`: of the list that is known; None if none is. `backoff`:
-    where lists are pushed, when to open the watch anew; None where somebody else decides on that."""
+    """Watches and fetches the list of members.
+
+    `address` is the catalogue's host:port, `path` the list's path there, and `version` the version of the list that is
+    known already, or None. With `backoff`, the client itself opens a failed watch again; without, `ask` has to be
+    called again.
+    """
 
     def __init__(
         self,
@@ -91,105 +103,113 @@
         self.version = version
         self.backoff = backoff
         self.actions: list[Action] = []
-        self.due = math.inf
-        self.watching = False
-        self.fetching = False
-        self.whole = False  # the call that is out asks for the whole list
-        self.wanted = False  # a watch was asked for, ever
-        self.calling = False  # a call is out, or waits for its connection
-        self.open = False  # there is a connection, or one is on its way
-        self.up = False
-        self.status = 0
-        self.body = bytearray()
+        self.due = math.inf  # when `tick` is needed
+        self.watching = False  # a watch goes on, or is to begin
+        self.fetching = False  # the whole list is to be fetched
+        self.whole_requested = False  # the current call asks for the whole list
+        self.watch_requested = False  # `ask` has requested a watch at some time
+        self.in_call = False  # a call is pending, or waits for its connection
+        self.is_open = False  # a connection is established or being established
+        self.is_connected = False  # the connection is established
+        self.status = 0  # of the current answer
+        self.body = bytearray()  # of the current answer
         self.http = h11.Connection(h11.CLIENT)
 
     def ask(self, now: float, watch: bool) -> None:
-        """Watch from now on, or ask for the whole list once."""
+        """Watch the list from now on, or fetch the whole list once."""
         if watch:
-            self.watching = self.wanted = True
+            self.watching = self.watch_requested = True
         else:
             self.fetching = True
-        if not self.calling:
-            self._call(now)
+        if not self.in_call:
+            self._start_call(now)
 
     def move(self, now: float, address: str) -> None:
-        """The catalogue is at that address from now on; what was asked is asked there anew, and a watch that failed as
-        well."""
+        """Use the catalogue at `address` from now on: repeat the current call there, and open a failed watch again."""
         self.address = address
-        self._drop()
+        self._close_connection()
         if self.backoff is not None:
             self.backoff.reset()
-        self.watching = self.wanted
+        self.watching = self.watch_requested
         if self.watching or self.fetching:
-            self._call(now)
+            self._start_call(now)
 
     def connected(self, now: float) -> None:
-        self.up = True
-        if self.calling:
-            self._request(now)
+        """The connection is established."""
+        self.is_connected = True
+        if self.in_call:
+            self._send_request(now)
 
     def data(self, now: float, data: bytes) -> None:
-        """`data` is empty at the end of the stream."""
+        """Bytes have arrived; `data` is empty at the end of the stream."""
         try:
             self.http.receive_data(data)
-            while self.open:
+            while self.is_open:
                 event = self.http.next_event()
                 if isinstance(event, h11.Response):
                     self.status = event.status_code
                 elif isinstance(event, h11.Data):
                     self.body += event.data
-                    if len(self.body) > LIMIT:
-                        self._fail(now, "the list of members is too long")
+                    if len(self.body) > MAX_LIST_BYTES:
+                        self._fail_call(now, "the list of members is too long")
                 elif isinstance(event, h11.EndOfMessage):
-                    self._answered(now)
+                    self._response_complete(now)
                 elif isinstance(event, h11.ConnectionClosed):
-                    self._closed(now, "the catalogue closed the connection")
+                    self._connection_lost(now, "the catalogue closed the connection")
                 else:
                     return
         except h11.RemoteProtocolError as error:
-            self._closed(now, str(error))
+            self._connection_lost(now, str(error))
 
     def lost(self, now: float, reason: str) -> None:
-        if self.open:
-            self._closed(now, reason)
+        """The connection could not be established, or broke."""
+        if self.is_open:
+            self._connection_lost(now, reason)
 
     def tick(self, now: float) -> None:
+        """The time `due` may have come: start a call again, or end one that timed out."""
         if now < self.due:
             return
-        if not self.calling:  # it is time to try again
-            self._call(now)
-        elif self.up and self.watching and not self.fetching:
-            self._drop()
-            self.actions.append(Tell(None, "the watch was silent, and is opened anew"))
-            self._call(now)
+        if not self.in_call:  # the back-off is over
+            self._start_call(now)
+        elif self.is_connected and self.watching and not self.fetching:
+            self._close_connection()
+            self.actions.append(Tell(None, "the watch was silent; opening it again"))
+            self._start_call(now)
         else:
-            self._fail(
-                now, "no answer of the catalogue in time" if self.up else "no connection to the catalogue"
+            self._fail_call(
+                now,
+                "the catalogue did not answer in time"
+                if self.is_connected
+                else "no connection to the catalogue",
             )
 
-    def _closed(self, now: float, reason: str) -> None:
-        if self.calling:
-            self._fail(now, reason)
+    def _connection_lost(self, now: float, reason: str) -> None:
+        """Handle the end of the connection, which fails a pending call."""
+        if self.in_call:
+            self._fail_call(now, reason)
         else:
-            self._drop()
+            self._close_connection()
 
-    def _call(self, now: float) -> None:
-        self.calling = True
+    def _start_call(self, now: float) -> None:
+        """Start a call, on a new connection if there is none."""
+        self.in_call = True
         self.due = now + CALL_TIMEOUT
-        if not self.open:
-            self.open = True
+        if not self.is_open:
+            self.is_open = True
             self.http = h11.Connection(h11.CLIENT)
             self.actions.append(Connect(self.address))
-        elif self.up:
-            self._request(now)
+        elif self.is_connected:
+            self._send_request(now)
 
-    def _request(self, now: float) -> None:
+    def _send_request(self, now: float) -> None:
+        """Send the HTTP request of the current call: for the whole list, or for the changes since `version`."""
         self.due = now + CALL_TIMEOUT + (0.0 if self.fetching else LONG_POLL)
         self.status = 0
         self.body = bytearray()
-        news = not self.fetching and self.version is not None
-        self.whole = not news
-        query = f"?after={self.version}&wait_ms={int(LONG_POLL * 1000)}" if news else ""
+        changes_only = not self.fetching and self.version is not None
+        self.whole_requested = not changes_only
+        query = f"?after={self.version}&wait_ms={int(LONG_POLL * 1000)}" if changes_only else ""
         request = h11.Request(
             method="GET",
             target=self.path + query,
@@ -197,33 +217,37 @@
         )
         self.actions.append(Send(self.http.send(request) + self.http.send(h11.EndOfMessage())))
 
-    def _answered(self, now: float) -> None:
+    def _response_complete(self, now: float) -> None:
+        """Handle a complete HTTP response: report its list and start the next call."""
         if self.status != 200:
-            return self._fail(now, f"the catalogue answered {self.status}")
+            return self._fail_call(now, f"the catalogue answered {self.status}")
         try:
             catalogue = read(self.body)
         except BadList as error:
-            return self._fail(now, str(error))
-        if self.whole and not catalogue.all:
-            return self._fail(now, "the catalogue answered with changes where the whole list was asked for")
-        stray = not catalogue.all and self.version is not None and catalogue.rev < self.version
+            return self._fail_call(now, str(error))
+        if self.whole_requested and not catalogue.all:
+            return self._fail_call(
+                now, "the catalogue answered with changes where the whole list was asked for"
+            )
+        is_older = not catalogue.all and self.version is not None and catalogue.rev < self.version
         self.body = bytearray()
-        self.version = None if stray else catalogue.rev
-        self.fetching = stray or (self.fetching and not self.whole)
+        self.version = None if is_older else catalogue.rev
+        self.fetching = is_older or (self.fetching and not self.whole_requested)
         if self.backoff is not None:
             self.backoff.reset()
-        self.calling, self.due = False, math.inf
+        self.in_call, self.due = False, math.inf
         if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
             self.http.start_next_cycle()
         else:
-            self._drop()
-        if self.watching or self.fetching:  # at once: the watch goes on only then
-            self._call(now)
-        if not stray:
+            self._close_connection()
+        if self.watching or self.fetching:  # at once, as the catalogue reports changes only to a pending call
+            self._start_call(now)
+        if not is_older:
             self.actions.append(Tell(roster(catalogue)))
 
-    def _fail(self, now: float, reason: str) -> None:
-        self._drop()
+    def _fail_call(self, now: float, reason: str) -> None:
+        """End a failed call and report it; with `backoff`, schedule the next one."""
+        self._close_connection()
         if self.backoff is not None:
             self.due = now + self.backoff.next()
             self.actions.append(Tell(None, reason))
@@ -231,9 +255,10 @@
         self.watching = self.fetching = False
         self.actions.append(Tell(Roster((), ListKind.FAILED), reason))
 
-    def _drop(self) -> None:
-        if self.open:
+    def _close_connection(self) -> None:
+        """Close the connection, and forget the call on it."""
+        if self.is_open:
             self.actions.append(Close())
-        self.open = self.up = self.calling = False
+        self.is_open = self.is_connected = self.in_call = False
         self.due = math.inf
         self.body = bytearray()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -274,7 +274,7 @@
 
 def test_a_member_that_stands_twice_is_refused_by_its_name() -> None:
     entry = {"uid": "s1", "endpoint": "10.1.0.18:6432", "pod_group": 0, "state": "SERVING"}
-    with pytest.raises(BadList, match="s1 stands there twice"):
+    with pytest.raises(BadList, match="s1 is listed twice"):
         convert({"rev": 1, "all": True, "targets": [entry, entry]})
     with pytest.raises(BadList, match="rev"):
         read(b'{"all": true, "targets": []}')
