--- a/banklift/proxy/__init__.py
+++ b/banklift/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The life of client connections, requests, attempts and links to members, as a machine without I/O."""
+"""The router's core: a state machine without I/O for client connections, requests, attempts and links to members."""
--- a/banklift/proxy/schema.py
+++ b/banklift/proxy/schema.py
@@ -1,4 +1,4 @@
-"""The types that all parts of the operator's file are made of. Times are seconds."""
+"""Types shared by all parts of the operator's file. Times are seconds."""
 
 from __future__ import annotations
 
@@ -14,4 +14,4 @@
 
 
 class Strict(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """A part of the file; a key that it does not know is refused."""
+    """Base of the file's tables; unknown keys are rejected."""
--- a/banklift/proxy/timers.py
+++ b/banklift/proxy/timers.py
@@ -1,8 +1,8 @@
-"""Timers of a machine: a heap from which any timer can be taken back in O(1), amortised.
+"""Timers of a state machine: a heap in which any timer can be cancelled in O(1), amortised.
 
-A timer that was taken back stays in the heap until it comes up or until more than half of the heap is such; then the
-heap is built anew. So the heap never holds more than twice the timers that are set, and a few, and nothing that a timer
-would have done keeps memory after it was taken back.
+A cancelled timer stays in the heap until its time comes, or until more than half of the heap is cancelled timers: then
+the heap is rebuilt without them. So the heap holds at most twice the active timers and `FEW` more, and a cancelled
+timer doesn't keep its callback in memory.
 """
 
 from __future__ import annotations
@@ -11,10 +11,12 @@
 import math
 from collections.abc import Callable
 
-FEW = 64  # timers below which nothing is built anew
+FEW = 64  # cancelled timers up to which the heap is never rebuilt
 
 
 class Timer:
+    """A timer; `call` is None once it was called or cancelled. Timers of one moment are ordered by `number`."""
+
     __slots__ = ("call", "number", "when")
 
     def __init__(self, when: float, number: int, call: Callable[[], None]) -> None:
@@ -26,48 +28,50 @@
 
 
 class Timers:
+    """A set of timers. Times are in the unit of the caller's clock."""
+
     def __init__(self) -> None:
         self._heap: list[Timer] = []
-        self._numbers = 0
-        self._dead = 0
+        self._last_number = 0
+        self._cancelled = 0
 
     def __len__(self) -> int:
-        """Timers that are set."""
-        return len(self._heap) - self._dead
+        """The number of active timers."""
+        return len(self._heap) - self._cancelled
 
     @property
     def room(self) -> int:
-        """Places that the heap takes, with those of timers taken back."""
+        """The size of the heap, with cancelled timers."""
         return len(self._heap)
 
     @property
     def next(self) -> float:
-        """When the first one is due; infinite if none is set."""
+        """When the first active timer is due; infinite if there is none."""
         while self._heap and self._heap[0].call is None:
             heapq.heappop(self._heap)
-            self._dead -= 1
+            self._cancelled -= 1
         return self._heap[0].when if self._heap else math.inf
 
     def at(self, when: float, call: Callable[[], None]) -> Timer:
-        """Call at `when`; timers of one moment are called in the order in which they were set."""
-        self._numbers += 1
-        timer = Timer(when, self._numbers, call)
+        """Call `call` at `when`. Timers of one moment are called in the order in which they were set."""
+        self._last_number += 1
+        timer = Timer(when, self._last_number, call)
         heapq.heappush(self._heap, timer)
         return timer
 
     def cancel(self, timer: Timer) -> None:
-        """Take it back; nothing if it has been called or taken back."""
+        """Cancel a timer; does nothing if it was called or cancelled before."""
         if timer.call is None:
             return
         timer.call = None
-        self._dead += 1
-        if self._dead > FEW and 2 * self._dead > len(self._heap):
+        self._cancelled += 1
+        if self._cancelled > FEW and 2 * self._cancelled > len(self._heap):
             self._heap = [other for other in self._heap if other.call is not None]
             heapq.heapify(self._heap)
-            self._dead = 0
+            self._cancelled = 0
 
     def run(self, now: float) -> None:
-        """Call what is due, and what becomes due by that."""
+        """Call the timers that are due at `now`, including those that these calls set."""
         while self.next <= now:
             timer = heapq.heappop(self._heap)
             call, timer.call = timer.call, None
