--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Crossings on real sockets, each forced: what is ready at once, what is closed meanwhile, who leaves unread."""
+"""Races on real sockets, each one forced: several connections ready at once, closed meanwhile, or left unread."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 ROOT = Path(__file__).parents[1]
 
 
-class Noting(Peer):
-    """Notes what it is told; `then` is called with its handle for each piece of data."""
+class RecordingPeer(Peer):
+    """Records the events of a connection; `on_data` is called with its handle for each piece of data."""
 
-    def __init__(self, then: Callable[[Handle], None] = lambda handle: None) -> None:
-        self.then = then
+    def __init__(self, on_data: Callable[[Handle], None] = lambda handle: None) -> None:
+        self.on_data = on_data
         self.notes: list[str] = []
 
     def up(self, handle: Handle) -> None:
@@ -36,7 +36,7 @@
 
     def data(self, data: bytes) -> None:
         self.notes.append(f"data {len(data)}")
-        self.then(self.handle)
+        self.on_data(self.handle)
 
     def eof(self) -> None:
         self.notes.append("eof")
@@ -48,8 +48,8 @@
         self.notes.append("lost")
 
 
-class Deaf:
-    """A listener whose backlog is full: connections to it stay on their way."""
+class FullBacklogListener:
+    """A listener whose backlog is full: connections to it are never established."""
 
     def __init__(self) -> None:
         self.sock = socket.socket()
@@ -69,62 +69,61 @@
 
 
 @pytest.mark.parametrize("alone", [True, False])
-def test_what_was_ready_on_a_closed_connection_is_not_told_to_one_that_got_its_descriptor(
+def test_readiness_of_a_closed_connection_is_not_reported_to_one_that_reuses_its_descriptor(
     alone: bool,
 ) -> None:
-    """Two connections are ready in one batch; the first closes the second and connects, and the kernel gives the new
-    connection the descriptor. It is on its way, and must not take what was ready for the sign that it is up."""
-    deaf, new = Deaf(), Noting()
-    got: list[tuple[int, int]] = []
+    """Two connections are ready in one batch of epoll. The first closes the second and opens a new connection, which
+    gets the same file descriptor. The readiness of the old connection must not count as the new one's connect."""
+    listener, new = FullBacklogListener(), RecordingPeer()
+    descriptors: list[tuple[int, int]] = []
     fillers: list[int] = []
 
     def act(env: SocketEnv) -> Callable[[], bool]:
-        first, second = Noting(), Noting()
+        first, second = RecordingPeer(), RecordingPeer()
         callers = pair(env, [first, second], 2)
 
         def swap(handle: Handle) -> None:
-            if got:
+            if descriptors:
                 return
             old = second if handle is first.handle else first
             number = old.handle._sock.fileno()  # type: ignore[attr-defined]
-            while (
-                filler := os.open(os.devnull, os.O_RDONLY)
-            ) < number:  # so that its number is the lowest free one
+            # until `number` is the lowest free descriptor
+            while (filler := os.open(os.devnull, os.O_RDONLY)) < number:
                 fillers.append(filler)
             os.close(filler)
             old.handle.close()
-            handle = env.connect(deaf.address, new)
-            got.append((number, handle._sock.fileno()))  # type: ignore[union-attr]
+            handle = env.connect(listener.address, new)
+            descriptors.append((number, handle._sock.fileno()))  # type: ignore[union-attr]
 
-        first.then = second.then = swap
+        first.on_data = second.on_data = swap
         for caller in callers:
             caller.sendall(b"question")
         rounds: list[None] = []
 
-        def over() -> bool:
-            if got:
+        def is_done() -> bool:
+            if descriptors:
                 rounds.append(None)
             return len(rounds) > 5
 
-        return over
+        return is_done
 
     run(act, alone)
-    deaf.close()
+    listener.close()
     for filler in fillers:
         os.close(filler)
-    ((before, after),) = got
-    assert before == after  # or nothing was tried
+    ((before, after),) = descriptors
+    assert before == after  # the descriptor was reused; otherwise the race did not happen
     assert new.notes == []
 
 
 @pytest.mark.parametrize(("unread", "reset"), [(0, False), (30_000, False), (0, True), (30_000, True)])
-def test_that_the_other_end_leaves_is_told_though_it_is_not_read(unread: int, reset: bool) -> None:
-    peer = Noting()
+def test_a_paused_connection_is_told_that_the_other_end_has_left(unread: int, reset: bool) -> None:
+    peer = RecordingPeer()
 
     def act(env: SocketEnv) -> Callable[[], bool]:
         (caller,) = pair(env, [peer], 1)
         peer.handle.pause()
-        if unread:  # all of it is in the kernel here, and nobody reads it
+        if unread:  # it stays in the kernel's receive buffer
             caller.sendall(b"x" * unread)
         if reset:
             caller.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
@@ -135,8 +134,8 @@
     assert peer.notes == ["up", "lost" if reset else "half closed"]
 
 
-def test_one_that_was_paused_and_is_read_again_hears_the_end_behind_what_came_before() -> None:
-    peer = Noting()
+def test_a_resumed_connection_gets_its_data_before_the_end() -> None:
+    peer = RecordingPeer()
 
     def act(env: SocketEnv) -> Callable[[], bool]:
         (caller,) = pair(env, [peer], 1)
@@ -144,21 +143,21 @@
         caller.sendall(b"question")
         caller.shutdown(socket.SHUT_WR)
 
-        def over() -> bool:
+        def is_done() -> bool:
             if peer.notes == ["up", "half closed"]:
                 peer.handle.resume()
             return "eof" in peer.notes
 
-        return over
+        return is_done
 
     run(act)
     assert peer.notes == ["up", "half closed", "data 8", "eof"]
 
 
-def test_what_crosses_the_end_of_a_connection_is_not_taken_and_the_answer_before_it_arrives() -> None:
-    """The second question is in the kernel here in the very moment in which the connection is finished."""
+def test_a_request_that_crosses_the_end_is_not_taken_and_the_answer_before_it_arrives() -> None:
+    """The second request is in the receive buffer at the moment the connection is finished, and isn't taken."""
     callers: list[socket.socket] = []
-    peer = Noting()
+    peer = RecordingPeer()
 
     def act(env: SocketEnv) -> Callable[[], bool]:
         callers.extend(pair(env, [peer], 1))
@@ -169,29 +168,27 @@
             handle.send(b"answered")
             handle.finish()
 
-        peer.then = answer
+        peer.on_data = answer
         callers[0].sendall(b"first")
         rounds: list[None] = []
 
-        def over() -> bool:
+        def is_done() -> bool:
             rounds.append(None)
             return len(peer.notes) > 1 and len(rounds) > 20
 
-        return over
+        return is_done
 
     run(act)
     assert peer.notes == ["up", "data 5"]
     assert callers[0].recv(100) == b"answered"
-    with contextlib.suppress(
-        ConnectionResetError
-    ):  # which tells that the second was not taken, as its end does
+    with contextlib.suppress(ConnectionResetError):  # shows, as an end does, that the second was not taken
         assert callers[0].recv(100) == b""
     callers[0].close()
 
 
-def test_what_was_gathered_for_a_connection_that_is_closed_in_the_same_round_does_not_leave() -> None:
+def test_gathered_output_of_a_connection_closed_in_the_same_round_is_not_sent() -> None:
     callers: list[socket.socket] = []
-    peer = Noting()
+    peer = RecordingPeer()
 
     def act(env: SocketEnv) -> Callable[[], bool]:
         callers.extend(pair(env, [peer], 1))
@@ -200,7 +197,7 @@
             handle.send(b"withdrawn")
             handle.close()
 
-        peer.then = drop
+        peer.on_data = drop
         callers[0].sendall(b"first")
         return lambda: len(peer.notes) > 1
 
@@ -210,10 +207,13 @@
     callers[0].close()
 
 
-def test_an_answer_that_is_not_read_yet_outlives_many_connections_that_only_end() -> None:
-    """`MOST_LINGERING` connections end with all sent, one with an answer that fills the kernel's buffers."""
+def test_an_unread_answer_survives_many_connections_that_finish_with_everything_sent() -> None:
+    """The limit of lingering connections must not cut off one whose answer is unsent.
+
+    Twice `MOST_LINGERING` connections finish with everything sent, and one with more than the kernel buffers.
+    """
     large = 8 * 1024 * 1024
-    slow, others = Noting(), [Noting() for _ in range(2 * MOST_LINGERING)]
+    slow, others = RecordingPeer(), [RecordingPeer() for _ in range(2 * MOST_LINGERING)]
     callers: list[socket.socket] = []
 
     def act(env: SocketEnv) -> Callable[[], bool]:
@@ -221,28 +221,29 @@
         slow.handle.send(b"x" * large)
         slow.handle.finish()
 
-        def crowd() -> None:
+        def finish_others() -> None:
             for other in others:
                 other.handle.send(b"answered")
                 other.handle.finish()
 
-        env.at(env.now() + 0.001, crowd)  # in a round behind that in which the slow one's answer was written
+        # after the round in which the slow connection's answer was written
+        env.at(env.now() + 0.001, finish_others)
         read = bytearray()
         callers[0].setblocking(False)
 
-        def over() -> bool:
+        def is_done() -> bool:
             if len(env.lingering) < MOST_LINGERING and not read:
                 return False
             try:
                 while data := callers[0].recv(1 << 20):
                     read.extend(data)
-                return True  # its end
+                return True  # end of the stream
             except BlockingIOError:
                 return False
             finally:
                 sizes[:] = [len(read)]
 
-        return over
+        return is_done
 
     sizes: list[int] = []
     run(act)
@@ -253,8 +254,10 @@
         caller.close()
 
 
-def test_a_sighup_before_the_program_has_begun_does_not_end_it(platform: Platform, tmp_path: Path) -> None:
-    """It comes from the interpreter's own start, before any line of the program runs."""
+def test_a_sighup_during_the_start_of_the_interpreter_does_not_end_the_program(
+    platform: Platform, tmp_path: Path
+) -> None:
+    """The signal arrives while the interpreter starts, before the program's first line."""
     (tmp_path / "sitecustomize.py").write_text("import os, signal\nos.kill(os.getpid(), signal.SIGHUP)\n")
     with open(ROOT / "deploy" / "balancer.toml", "rb") as file:
         run_line = tomllib.load(file)["run"]
@@ -268,7 +271,7 @@
         stderr=subprocess.PIPE,
     )
     platform.said("listening")
-    platform.process.send_signal(signal.SIGHUP)  # and from then on it is heeded
+    platform.process.send_signal(signal.SIGHUP)  # now the configuration is read again
     platform.said("configuration read again")
     platform.process.send_signal(signal.SIGTERM)
     platform.said("leaving")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The catalogue's client, event by event."""
+"""The discovery client, event by event: calls, failures, retries and invalid lists."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return b"HTTP/1.1 %b\r\nContent-Length: %d\r\n%b\r\n%b" % (status, len(body), more, body)
 
 
-def calling(version: int | None = 41) -> Client:
+def watching_client(version: int | None = 41) -> Client:
     client = Client("10.2.0.1:8500", version=version)
     client.ask(100.0, True)
     assert client.actions == [Connect("10.2.0.1:8500")]
@@ -30,37 +30,37 @@
     return client
 
 
-def sent(client: Client) -> bytes:
+def sent_bytes(client: Client) -> bytes:
     (action,) = [action for action in client.actions if isinstance(action, Send)]
     client.actions.clear()
     return action.data
 
 
-def told(client: Client) -> Tell:
+def reported(client: Client) -> Tell:
     (action,) = [action for action in client.actions if isinstance(action, Tell)]
     return action
 
 
-def listed(client: Client) -> Roster:
-    roster = told(client).roster
+def reported_roster(client: Client) -> Roster:
+    roster = reported(client).roster
     assert roster is not None
     return roster
 
 
-def failed(client: Client) -> str:
-    """The reason of the one failure that the machine is told of."""
-    tell = told(client)
+def failure_reason(client: Client) -> str:
+    """The reason of the one failure that is reported to the machine."""
+    tell = reported(client)
     assert tell.roster is not None and tell.roster.kind is ListKind.FAILED
     return tell.reason
 
 
-def test_a_watch_goes_on_at_once_on_the_same_connection() -> None:
-    client = calling()
-    assert sent(client).startswith(b"GET /catalog/members?after=41&wait_ms=4000 HTTP/1.1\r\n")
+def test_a_watch_calls_again_at_once_on_the_same_connection() -> None:
+    client = watching_client()
+    assert sent_bytes(client).startswith(b"GET /catalog/members?after=41&wait_ms=4000 HTTP/1.1\r\n")
     data = answer(GOOD)
-    for place in range(len(data)):
-        client.data(100.5, data[place : place + 1])
-    roster = listed(client)
+    for index in range(len(data)):
+        client.data(100.5, data[index : index + 1])
+    roster = reported_roster(client)
     assert roster.kind is ListKind.FULL
     (member,) = roster.members
     assert (member.name, member.group, member.address, member.state, member.primary, member.started) == (
@@ -72,19 +72,19 @@
         1.5,
     )
     assert not any(isinstance(action, Connect | Close) for action in client.actions)
-    assert b"after=43" in sent(client)
+    assert b"after=43" in sent_bytes(client)
     client.data(101.0, answer(GOOD.replace(b'"all":true', b'"all":false')))
-    assert listed(client).kind is ListKind.CHANGES
+    assert reported_roster(client).kind is ListKind.CHANGES
 
 
-def test_without_a_version_and_for_a_fetch_the_whole_list_is_asked() -> None:
-    assert sent(calling(None)).startswith(b"GET /catalog/members HTTP/1.1\r\n")
+def test_without_a_version_and_for_a_fetch_the_whole_list_is_requested() -> None:
+    assert sent_bytes(watching_client(None)).startswith(b"GET /catalog/members HTTP/1.1\r\n")
     client = Client("10.2.0.1:8500", version=41)
     client.ask(100.0, False)
     client.connected(100.0)
-    assert sent(client).startswith(b"GET /catalog/members HTTP/1.1\r\n")
+    assert sent_bytes(client).startswith(b"GET /catalog/members HTTP/1.1\r\n")
     client.data(100.0, answer(GOOD))
-    assert listed(client).members and not any(isinstance(action, Send) for action in client.actions)
+    assert reported_roster(client).members and not any(isinstance(action, Send) for action in client.actions)
 
 
 @pytest.mark.parametrize(
@@ -103,49 +103,49 @@
         b"",
     ],
 )
-def test_an_answer_that_is_none_fails_the_call_once(data: bytes) -> None:
-    client = calling()
+def test_an_invalid_answer_fails_the_call_once(data: bytes) -> None:
+    client = watching_client()
     client.actions.clear()
     client.data(100.1, data)
     client.data(100.1, b"")
     client.lost(100.1, "reset")
-    assert failed(client)
+    assert failure_reason(client)
     assert [type(action) for action in client.actions] == [Close, Tell]
     client.actions.clear()
-    client.ask(101.0, True)  # when to ask again is not decided here
+    client.ask(101.0, True)  # the client makes no retry itself
     assert client.actions == [Connect("10.2.0.1:8500")]
 
 
 @pytest.mark.parametrize("cut", [0, 20, len(GOOD) - 1, len(GOOD)])
-def test_a_body_without_length_ends_with_its_connection_and_a_reset_is_no_end(cut: int) -> None:
+def test_a_body_without_length_ends_with_its_connection_but_not_by_a_reset(cut: int) -> None:
     head = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n"
-    client = calling()
+    client = watching_client()
     client.actions.clear()
     client.data(100.1, head + GOOD[:cut])
     assert not any(isinstance(action, Tell) for action in client.actions)
     client.lost(100.2, "reset")
-    assert "reset" in failed(client)
-    whole = calling()
+    assert "reset" in failure_reason(client)
+    whole = watching_client()
     whole.data(100.1, head + GOOD[:cut])
     whole.actions.clear()
-    whole.data(100.2, b"")  # its end
+    whole.data(100.2, b"")  # end of the stream
     if cut == len(GOOD):
-        assert listed(whole).kind is ListKind.FULL
+        assert reported_roster(whole).kind is ListKind.FULL
     else:
-        assert "the list of members" in failed(whole)
+        assert "the list of members" in failure_reason(whole)
 
 
 def test_a_watch_that_is_reset_before_its_first_byte_fails_once() -> None:
-    client = calling()
+    client = watching_client()
     client.actions.clear()
     client.lost(100.0, "reset")
     client.lost(100.0, "reset")
-    assert "reset" in failed(client) and [type(action) for action in client.actions] == [Close, Tell]
+    assert "reset" in failure_reason(client) and [type(action) for action in client.actions] == [Close, Tell]
 
 
-def test_a_silent_watch_is_opened_anew_at_once_each_time() -> None:
-    """A wait after the second one would add to the time in which it was silent, and what it missed counts as told."""
-    client = calling()
+def test_a_silent_watch_is_reopened_at_once_each_time() -> None:
+    """A pause before the next call would prolong the time in which changes are missed that count as reported."""
+    client = watching_client()
     client.actions.clear()
     now = 100.0
     for _ in range(4):
@@ -154,15 +154,15 @@
         now += LONG_POLL + CALL_TIMEOUT
         client.tick(now)
         assert client.actions[0] == Close() and client.actions[2:] == [Connect("10.2.0.1:8500")]
-        assert told(client).roster is None and "silent" in told(client).reason
+        assert reported(client).roster is None and "silent" in reported(client).reason
         client.actions.clear()
         now += 0.1
         client.connected(now)
-        assert b"after=41&wait_ms=4000" in sent(client)
+        assert b"after=41&wait_ms=4000" in sent_bytes(client)
 
 
 def test_a_silent_watch_whose_new_connection_does_not_come_up_fails_in_time() -> None:
-    client = calling()
+    client = watching_client()
     client.actions.clear()
     silent = 100.0 + LONG_POLL + CALL_TIMEOUT
     client.tick(silent)
@@ -170,37 +170,37 @@
     client.tick(silent + CALL_TIMEOUT - 0.01)
     assert client.actions == []
     client.tick(silent + CALL_TIMEOUT)
-    assert "no connection" in failed(client)
+    assert "no connection" in failure_reason(client)
 
 
-def test_a_watch_that_has_answered_since_is_opened_anew_once_more() -> None:
-    client = calling()
+def test_a_watch_that_answered_after_a_silence_is_reopened_at_the_next_silence() -> None:
+    client = watching_client()
     client.tick(100.0 + LONG_POLL + CALL_TIMEOUT)
     client.connected(105.6)
     client.actions.clear()
     client.data(105.7, answer(GOOD))
     client.actions.clear()
     client.tick(105.7 + LONG_POLL + CALL_TIMEOUT)
-    assert told(client).roster is None and client.actions[-1] == Connect("10.2.0.1:8500")
+    assert reported(client).roster is None and client.actions[-1] == Connect("10.2.0.1:8500")
 
 
-def test_a_whole_list_that_does_not_come_fails_in_time() -> None:
+def test_a_fetch_without_an_answer_times_out() -> None:
     client = Client("10.2.0.1:8500", version=41)
     client.ask(100.0, False)
     client.connected(100.0)
     client.actions.clear()
     client.tick(100.0 + CALL_TIMEOUT)
-    assert "in time" in failed(client)
+    assert "in time" in failure_reason(client)
 
 
-def test_an_answer_that_trickles_fails_in_time() -> None:
-    client = calling()
+def test_an_answer_that_arrives_too_slowly_times_out() -> None:
+    client = watching_client()
     client.actions.clear()
     data = answer(GOOD)
     client.data(101.0, data[:40])
     client.data(105.0, data[40:50])
     client.tick(100.0 + LONG_POLL + CALL_TIMEOUT)
-    assert told(client).roster is None and client.actions[-1] == Connect("10.2.0.1:8500")
+    assert reported(client).roster is None and client.actions[-1] == Connect("10.2.0.1:8500")
 
 
 def test_a_connection_that_does_not_come_up_fails_before_a_watch_would() -> None:
@@ -209,36 +209,36 @@
     client.tick(100.0 + CALL_TIMEOUT - 0.01)
     client.actions.clear()
     client.tick(100.0 + CALL_TIMEOUT)
-    assert "no connection" in failed(client)
+    assert "no connection" in failure_reason(client)
 
 
-def test_changes_of_a_catalogue_that_began_anew_are_not_taken_but_its_whole_list() -> None:
-    client = calling(41)
+def test_changes_of_a_restarted_catalogue_are_dropped_and_its_whole_list_is_fetched() -> None:
+    client = watching_client(41)
     client.actions.clear()
     changes = GOOD.replace(b'"all":true', b'"all":false').replace(b'"rev":43', b'"rev":7')
     client.data(100.2, answer(changes))
     assert not any(isinstance(action, Tell) for action in client.actions)
-    assert sent(client).startswith(b"GET /catalog/members HTTP/1.1\r\n")
+    assert sent_bytes(client).startswith(b"GET /catalog/members HTTP/1.1\r\n")
     client.data(100.3, answer(GOOD.replace(b'"rev":43', b'"rev":7')))
-    tell = told(client)
+    tell = reported(client)
     assert tell.roster is not None and tell.roster.kind is ListKind.FULL
-    assert b"after=7&" in sent(client)
+    assert b"after=7&" in sent_bytes(client)
 
 
 def test_changes_are_no_answer_where_the_whole_list_was_asked_for() -> None:
-    client = calling(None)
+    client = watching_client(None)
     client.actions.clear()
     client.data(100.2, answer(GOOD.replace(b'"all":true', b'"all":false')))
-    assert "whole list" in failed(client)
+    assert "whole list" in failure_reason(client)
 
 
-def test_where_lists_are_pushed_the_watch_is_opened_anew_with_waits_that_double_up_to_a_bound() -> None:
+def test_with_backoff_a_failed_watch_is_reopened_after_waits_that_double_up_to_a_bound() -> None:
     client = Client("10.2.0.1:8500", version=41, backoff=Backoff(0.1, 0.5, Random(1)))
     client.ask(100.0, True)
     now, waits = 100.0, []
     for _ in range(6):
         client.lost(now, "refused")
-        assert told(client).roster is None
+        assert reported(client).roster is None
         client.actions.clear()
         waits.append(client.due - now)
         now = client.due
@@ -248,31 +248,31 @@
         assert most / 2 <= wait <= most
     client.actions.clear()
     client.connected(now)
-    assert b"after=41&wait_ms=4000" in sent(client)
+    assert b"after=41&wait_ms=4000" in sent_bytes(client)
     client.data(now, answer(GOOD))
     client.lost(now, "reset")
-    assert client.due - now <= 0.1  # what answered is asked soon again
+    assert client.due - now <= 0.1  # the back-off starts over after an answer
 
 
-def test_a_connection_that_closes_behind_its_answer_is_opened_anew() -> None:
-    client = calling()
+def test_a_connection_that_closes_after_its_answer_is_reopened() -> None:
+    client = watching_client()
     client.actions.clear()
     client.data(100.1, answer(GOOD, more=b"Connection: close\r\n"))
     assert [type(action) for action in client.actions] == [Close, Connect, Tell]
 
 
 def test_a_catalogue_that_moves_is_asked_at_its_new_address_at_once() -> None:
-    client = calling()
+    client = watching_client()
     client.actions.clear()
     client.move(100.2, "10.2.0.2:8500")
     assert client.actions == [Close(), Connect("10.2.0.2:8500")]
     client.connected(100.3)
-    assert b"after=41" in sent(client)
-    client.move(100.4, "10.2.0.2:8500")  # told again: the call there may be stuck
+    assert b"after=41" in sent_bytes(client)
+    client.move(100.4, "10.2.0.2:8500")  # the same address again: the call there may hang
     assert client.actions == [Close(), Connect("10.2.0.2:8500")]
 
 
-def test_a_member_that_stands_twice_is_refused_by_its_name() -> None:
+def test_a_list_with_a_repeated_member_is_rejected_with_the_name() -> None:
     entry = {"uid": "s1", "endpoint": "10.1.0.18:6432", "pod_group": 0, "state": "SERVING"}
     with pytest.raises(BadList, match="s1 is listed twice"):
         convert({"rev": 1, "all": True, "targets": [entry, entry]})
@@ -280,20 +280,20 @@
         read(b'{"all": true, "targets": []}')
 
 
-def test_a_catalogue_that_moves_is_asked_though_the_old_one_has_failed() -> None:
-    """Whoever decides when to ask again may still be waiting; at the new place there is nothing to wait for."""
-    client = calling()
+def test_a_catalogue_that_moves_is_asked_after_a_failure_at_the_old_address() -> None:
+    """The machine may still be waiting before its retry, which concerns only the old address."""
+    client = watching_client()
     client.data(100.1, answer(b"", b"503 Service Unavailable"))
     client.actions.clear()
     client.move(100.2, "10.2.0.2:8500")
     assert client.actions == [Connect("10.2.0.2:8500")]
 
 
-def test_the_whole_list_is_asked_for_after_the_call_that_is_out() -> None:
-    client = calling()
+def test_the_whole_list_is_fetched_after_the_pending_call() -> None:
+    client = watching_client()
     client.ask(100.1, False)
     client.actions.clear()
     client.data(100.2, answer(GOOD))
-    assert sent(client).startswith(b"GET /catalog/members HTTP/1.1\r\n")
+    assert sent_bytes(client).startswith(b"GET /catalog/members HTTP/1.1\r\n")
     client.data(100.3, answer(GOOD))
-    assert b"after=43" in sent(client)
+    assert b"after=43" in sent_bytes(client)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""How a router on the platform ends: what it took is answered before the platform may kill it."""
+"""Graceful shutdown on the platform: every accepted request is answered before the platform may kill the router."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from banklift.pg import frames
 from tests.platform_site import SETTINGS, Caller, Site, code, value
 
-COST = 0.002  # seconds
-DEADLINE = 2.0  # the longest of the site's classes
+EVENT_COST = 0.002  # seconds of processor time for each event
+DEADLINE = 2.0  # seconds; the longest deadline of the site's classes
 
 
 @pytest.fixture
-def noted() -> Iterator[None]:
-    """Signals are as before, afterwards."""
+def restored_signals() -> Iterator[None]:
+    """Restores the signal handlers after the test."""
     before = {number: signal.getsignal(number) for number in Signals.NUMBERS}
     yield
     signal.set_wakeup_fd(-1)
@@ -30,7 +30,7 @@
         signal.signal(number, handler)
 
 
-def test_a_signal_counts_from_when_it_came_also_before_anybody_listens(noted: None) -> None:
+def test_a_signal_keeps_its_time_of_arrival_even_before_there_is_a_listener(restored_signals: None) -> None:
     clock = [5.0]
     signals = Signals(lambda: clock[0])
     os.kill(os.getpid(), signal.SIGHUP)
@@ -47,13 +47,13 @@
     signals.listen(cast(Any, Env()), lambda number, at: told.append((number, at)))
     assert told == [(signal.SIGHUP, 5.0), (signal.SIGTERM, 7.0)]
     os.kill(os.getpid(), signal.SIGTERM)
-    assert signals.wake.recv(10) and watched == [signals.wake.fileno()]  # the byte ends the wait for sockets
+    assert signals.wake.recv(10) and watched == [signals.wake.fileno()]  # the byte wakes the wait for sockets
     signals.ready(0)
     assert told[2:] == [(signal.SIGTERM, 9.0)]
 
 
-class Leaving(World):
-    """Surroundings of a service, in virtual time."""
+class ServiceWorld(World):
+    """The environment of one service, in virtual time; `ended` is when it stopped."""
 
     ended = -1.0
 
@@ -66,50 +66,51 @@
 
 
 @pytest.mark.parametrize(("late", "discovery"), [(0.0, True), (0.15, True), (0.3, True), (0.0, False)])
-def test_all_is_answered_before_the_kill_however_late_the_signal_is_noticed(
+def test_every_request_is_answered_before_the_kill_even_if_the_signal_is_noticed_late(
     late: float, discovery: bool
 ) -> None:
-    site = Site(world=Leaving(1))
-    world = cast(Leaving, site.world)
+    site = Site(world=ServiceWorld(1))
+    world = cast(ServiceWorld, site.world)
     if not discovery:
         assert site.catalogue.listener is not None
         site.catalogue.listener.close()
         site.catalogue.failing = True
     silent, fresh = Caller(site), Caller(site)
-    came = world.now()
+    signalled_at = world.now()
     site.run(late)
-    site.service.signalled(signal.SIGTERM, came)
+    site.service.signalled(signal.SIGTERM, signalled_at)
     site.nodes["p"].answers.extend([lambda node, statement: None] * 2)
     site.run(1.41 - late)
     silent.say(frames.query(site.write().encode()))
     fresh.say(frames.query(site.read("view", "k").encode()))
     half = Caller(site, start=False)
     half.say(frames.startup("backend", "store")[:5])
-    site.run(came + KILL + DEADLINE - 0.2 - world.now())  # a part of a core needs time to write it all
+    # 0.2 s are left to write everything, on a share of a core
+    site.run(signalled_at + KILL + DEADLINE - 0.2 - world.now())
     assert code(silent.told()) == "40003"
     assert [kind for kind, _ in fresh.told()] == ["T", "D", "C", "Z"]
     assert not site.machine.open
     site.run(0.2)
     assert half.ended and silent.ended and fresh.ended
-    assert 0 < world.ended <= came + KILL + DEADLINE
+    assert 0 < world.ended <= signalled_at + KILL + DEADLINE
 
 
-class Slow(Leaving):
-    """Every event takes `COST` of processor time: about ten times what it takes a router on a whole core."""
+class SlowWorld(ServiceWorld):
+    """Every event takes `EVENT_COST`, about ten times as long as a router takes for it on a whole core."""
 
     def run(self, until: float) -> None:
         while self.queue and self.queue[0][0] <= until:
             when, _, callback = heapq.heappop(self.queue)
             self.clock = max(self.clock, when)
             callback()
-            self.clock += COST
+            self.clock += EVENT_COST
         self.clock = max(self.clock, until)
 
 
 @pytest.mark.parametrize("discovery", [True, False])
-def test_all_is_answered_before_the_kill_on_a_clock_ten_times_too_fast(discovery: bool) -> None:
-    site = Site(world=Slow(1), sockets=512)
-    world = cast(Leaving, site.world)
+def test_every_request_is_answered_before_the_kill_with_a_tenth_of_the_processor(discovery: bool) -> None:
+    site = Site(world=SlowWorld(1), sockets=512)
+    world = cast(ServiceWorld, site.world)
     if not discovery:
         assert site.catalogue.listener is not None
         site.catalogue.listener.close()
@@ -120,22 +121,21 @@
     waiting = [Caller(site) for _ in range(16)]
     for node in site.nodes.values():
         node.answers.extend([lambda node, statement: None] * 24)
-    for place, caller in enumerate(
-        waiting
-    ):  # writes, of which some wait for a link, and reads that are moved about
-        caller.handle.send(frames.query((site.write() if place % 2 else site.read("view", "k")).encode()))
+    # writes, some of which wait for a link, and reads, which are retried elsewhere
+    for index, caller in enumerate(waiting):
+        caller.handle.send(frames.query((site.write() if index % 2 else site.read("view", "k")).encode()))
     site.run(0.1)
-    came = world.now()
-    site.service.signalled(signal.SIGTERM, came)
+    signalled_at = world.now()
+    site.service.signalled(signal.SIGTERM, signalled_at)
     site.run(0.65)
     late = Caller(site, start=False)
     late.say(frames.startup("backend", "store") + frames.query(site.write().encode()), 0.0)
     half = Caller(site, start=False)
     half.say(frames.startup("backend", "store") + frames.query(site.write().encode())[:40], 0.0)
-    site.run(came + KILL + DEADLINE - world.now())
-    assert not site.machine.open and 0 < world.ended <= came + KILL + DEADLINE
+    site.run(signalled_at + KILL + DEADLINE - world.now())
+    assert not site.machine.open and 0 < world.ended <= signalled_at + KILL + DEADLINE
     for caller in waiting:
-        assert [kind for kind, _ in caller.told()] == ["E", "Z"] and caller.ended  # silent nodes
+        assert [kind for kind, _ in caller.told()] == ["E", "Z"] and caller.ended  # the nodes never answer
     assert [kind for kind, _ in late.told()][-2:] in (["C", "Z"], ["E", "Z"])
     assert half.ended and late.ended and all(caller.ended for caller in resting)
 
@@ -162,38 +162,38 @@
 
 
 @pytest.mark.parametrize("silent", [True, False])
-def test_what_may_wait_longer_than_the_router_lives_is_answered_as_well(silent: bool) -> None:
-    site = Site(world=Leaving(1), settings=REPORTS)
-    world, caller = cast(Leaving, site.world), Caller(site)
+def test_a_request_with_a_deadline_after_the_kill_is_answered_before_it(silent: bool) -> None:
+    site = Site(world=ServiceWorld(1), settings=REPORTS)
+    world, caller = cast(ServiceWorld, site.world), Caller(site)
     for node in site.nodes.values():
         if silent:
             node.answers.extend([lambda node, statement: None] * 3)
         else:
-            node.stop()  # nobody can be reached, and it waits here
+            node.stop()  # no member can be reached, so the request waits in the router
     caller.say(frames.query(site.read("report", "k", patience=8000).encode()), 0.5)
-    came = world.now()
-    site.service.signalled(signal.SIGTERM, came)
+    signalled_at = world.now()
+    site.service.signalled(signal.SIGTERM, signalled_at)
     site.run(KILL + LONGEST - 0.2)
     assert code(caller.told()) == "53300" and not site.machine.open
     site.run(0.2)
-    assert caller.ended and 0 < world.ended <= came + KILL + LONGEST
+    assert caller.ended and 0 < world.ended <= signalled_at + KILL + LONGEST
 
 
-def test_connections_that_rest_are_handed_back_over_time_and_those_that_never_asked_last() -> None:
-    site = Site(world=Leaving(1))
-    world = cast(Leaving, site.world)
+def test_idle_connections_are_closed_gradually_and_those_without_a_request_last() -> None:
+    site = Site(world=ServiceWorld(1))
+    world = cast(ServiceWorld, site.world)
     callers = [Caller(site) for _ in range(10)]
     for caller in callers:
         caller.ask(site.read("any", "k"))
-    came = world.now()
-    site.service.signalled(signal.SIGTERM, came)
+    signalled_at = world.now()
+    site.service.signalled(signal.SIGTERM, signalled_at)
     left = []
-    while world.now() < came + KILL + DEADLINE - 0.6:
+    while world.now() < signalled_at + KILL + DEADLINE - 0.6:
         site.run(0.1)
         left.append(sum(not caller.ended for caller in callers))
         if len(left) == 10:
             new = Caller(site)
-    assert left[2] == 10  # clients still come
+    assert left[2] == 10  # within the first 0.3 s clients may still send
     steps = [before - after for before, after in itertools.pairwise(left)]
     assert max(steps) <= 3 and left[-1] == 0
     assert not new.ended and len(new.ask(site.read("any", "k"), 0.05)) == 4
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits that the project sets on the decision module."""
+"""Limits on the size and form of the decision module, banklift/balance.py."""
 
 from pathlib import Path
 
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -1,4 +1,4 @@
-"""The machine by itself: what a link, an attempt and an answer may and may not do, event by event."""
+"""The core state machine with a RESP front, event by event: links, attempts, answers and what clients are told."""
 
 from __future__ import annotations
 
@@ -40,12 +40,12 @@
     return b"*3\r\n$6\r\nmaster\r\n:%d\r\n*0\r\n" % offset
 
 
-def follows(offset: int) -> bytes:
+def replica_role(offset: int) -> bytes:
     return b"*5\r\n$5\r\nslave\r\n$1\r\np\r\n:1\r\n$9\r\nconnected\r\n:%d\r\n" % offset
 
 
 class Rig:
-    """A machine with one group, a primary p and a replica r, and everything under the test's control."""
+    """A machine with one group, a primary p and a replica r; the test plays clients, members and the clock."""
 
     def __init__(self, **limits: object) -> None:
         example = load(EXAMPLE)
@@ -62,13 +62,14 @@
         self.links: dict[int, str] = {}
         self.closed: list[int] = []
         self.closed_clients: list[int] = []
-        self.offsets = {"p:1": 5, "r:1": 5}  # what probes find
-        self.probing: set[int] = set()
+        # offsets in answers to probes; a member without one does not answer
+        self.offsets = {"p:1": 5, "r:1": 5}
+        self.probing: set[int] = set()  # links that carry probes
         self.tell(ev.Roster((ev.Listed("p", 0, "p:1", State.READY, True), ev.Listed("r", 0, "r:1"))))
         self.tell(ev.ClientOpened(1))
 
     def tell(self, event: ev.Event) -> None:
-        """Tell the machine; probes are answered at once."""
+        """Pass an event to the machine and record its actions; probes are answered at once."""
         asked: list[int] = []
         opened: list[int] = []
         for action in self.machine.handle(self.now, event):
@@ -103,7 +104,7 @@
         self.tell(ev.ClientData(client, command(*map(str, args))))
 
     def link(self, address: str) -> int:
-        """The newest open link to a member, but for probes."""
+        """The newest open link to a member that carries no probes."""
         return max(
             link
             for link, where in self.links.items()
@@ -163,7 +164,7 @@
     rig.tell(ev.LinkLost(link, "reset"))
     assert rig.answer() == b"+OK\r\n"
     rig.ask("BANKLIFT.TOKEN")
-    assert rig.answer() == b"$6\r\nwest=?\r\n"  # it ran, where is not known
+    assert rig.answer() == b"$6\r\nwest=?\r\n"  # it ran, but at an unknown offset
 
 
 def test_a_refused_connect_never_ran() -> None:
@@ -225,7 +226,7 @@
     rig = Rig()
     rig.ask("SET", "pick:1", "a")
     link = rig.up("p:1")
-    rig.offsets.clear()  # probes find nobody
+    rig.offsets.clear()  # probes get no answer
     rig.tell(ev.LinkData(link, error + info(not error.startswith(b"-READONLY"), 10)))
     rig.wait(2.0)
     answer = rig.answer()
@@ -274,7 +275,7 @@
 
 
 def test_a_read_whose_own_proof_fails_is_not_passed_on() -> None:
-    """The replica was proven current, then it answers from before the session's write."""
+    """The replica was proven current, but then answers with data from before the session's write."""
     rig = Rig()
     rig.ask("SET", "pick:1", "a")
     primary = rig.up("p:1")
@@ -287,12 +288,12 @@
     assert (
         rig.sent[replica] == INFO + command("GET", "pick:1") + ROLE
     )  # on both sides: the read leaves a mark
-    rig.tell(ev.LinkData(replica, info(False, 40) + b"$5\r\nstale\r\n" + follows(40)))
+    rig.tell(ev.LinkData(replica, info(False, 40) + b"$5\r\nstale\r\n" + replica_role(40)))
     assert rig.answer() == b""
     rig.wait(0.1)
     assert rig.sent[primary].endswith(ROLE + command("GET", "pick:1") + ROLE)
     rig.tell(ev.LinkData(primary, role(50) + b"$1\r\na\r\n"))
-    assert rig.answer() == b""  # what it showed may be newer than the first word
+    assert rig.answer() == b""  # the data may be newer than the first status answer
     rig.tell(ev.LinkData(primary, role(60)))
     assert rig.answer() == b"$1\r\na\r\n"
 
@@ -372,11 +373,11 @@
 
 
 def test_memory_of_an_answer_goes_with_it() -> None:
-    """Timers outlive requests; what was sent and answered must not live as long."""
+    """Timers outlive requests, and must not keep them in memory."""
     rig = Rig()
     rig.ask("SET", "pick:1", "a")
     rig.tell(ev.LinkData(rig.up("p:1"), b"+OK\r\n" + info(True, 50)))
-    assert rig.machine.timers  # they would hold it
+    assert rig.machine.timers  # which could hold the request
     gc.collect()
     assert not [each for each in gc.get_objects() if isinstance(each, Attempt | PendingRequest | Single)]
 
@@ -438,7 +439,7 @@
 def test_a_half_closed_client_is_told_to_repeat_only_while_repeats_are_discarded(
     past: float, word: bytes
 ) -> None:
-    """The window passes between two looks at what is held, and the client ends its side in that moment."""
+    """The client half-closes just before or after the idempotency window ends, and before held requests are checked."""
     rig = Rig()
     (stamp,) = [kind for kind in rig.config.classes if kind.effect is Effect.KEYED]
     assert stamp.window > 0 and not stamp.group_only
@@ -454,7 +455,7 @@
 
 
 def test_what_may_have_run_is_not_refused_as_if_nothing_had() -> None:
-    """A note, safe to repeat, was written to a member that never answered; its client hears of it."""
+    """The member never answered a request that is safe to repeat: the client is told that it may have run."""
     rig = Rig()
     rig.ask("SET", "note:1", "a")
     link = rig.up("p:1")
@@ -485,7 +486,7 @@
 
 
 def test_a_turning_away_before_the_cut_is_no_answer_to_the_client() -> None:
-    """READONLY came, then the link broke before the standing: nothing ran, and somebody else is asked."""
+    """The link breaks after READONLY and before the status answer: nothing ran, and the request is retried."""
     rig = Rig()
     rig.ask("SET", "note:1", "a")
     link = rig.up("p:1")
@@ -497,7 +498,7 @@
 
 
 def test_a_unit_that_a_demoted_member_discards_is_tried_elsewhere() -> None:
-    """EXEC after the demotion: every command was queued, and none ran."""
+    """EXEC comes after the demotion: every command was queued, and none ran."""
     rig = Rig()
     for args in (("MULTI",), ("APPEND", "note:1", "a"), ("EXEC",)):
         rig.ask(*args)
@@ -516,10 +517,10 @@
 
 
 def test_a_session_never_goes_back_behind_what_it_read() -> None:
-    """Monotonic reads: what a session's read has shown is part of its mark."""
+    """Monotonic reads: a session's token covers what its reads have shown."""
     rig = Rig()
     rig.machine.front.config = msgspec.structs.replace(rig.config, sessions="connection")  # type: ignore[attr-defined]
-    rig.ask("SET", "note:1", "x")  # by which the router learns the primary's history
+    rig.ask("SET", "note:1", "x")  # the router learns the primary's history from its answer
     rig.tell(ev.LinkData(rig.up("p:1"), b"+OK\r\n" + info(True, 5)))
     rig.tell(ev.ClientOpened(2))
     rig.ask("GET", "pick:1", client=2)
@@ -527,15 +528,17 @@
     if link not in rig.sent:
         rig.tell(ev.LinkUp(link))
     primary = rig.links[link] == "p:1"
-    rig.tell(ev.LinkData(link, info(primary, 70) + b"$1\r\nx\r\n" + (role(90) if primary else follows(90))))
+    rig.tell(
+        ev.LinkData(link, info(primary, 70) + b"$1\r\nx\r\n" + (role(90) if primary else replica_role(90)))
+    )
     assert rig.answer(2) == b"$1\r\nx\r\n"
     rig.ask("BANKLIFT.TOKEN", client=2)
     assert rig.answer(2) == b"$48\r\nwest=%b:90\r\n" % A.encode()
 
 
 def test_a_member_whose_role_changed_is_asked_for_its_history_at_once() -> None:
-    """A replica says by ROLE that it leads: without its history that proves nothing, and waiting for its next request
-    would leave reads with the old primary."""
+    """A replica's ROLE says that it is a primary now. That proves nothing without its history, and if the router waited
+    for its next request, reads would go on to the old primary."""
     rig = Rig()
     rig.ask("SET", "note:1", "a")
     rig.tell(ev.LinkData(rig.up("p:1"), b"+OK\r\n" + info(True, 5)))
@@ -548,8 +551,8 @@
     assert len(node.probes) == before + 1  # once is enough
 
 
-def test_a_new_primary_that_answers_slowly_is_known_by_the_word_in_front() -> None:
-    """The role stands in front of the answer, which may take long: the module hears of it at once."""
+def test_a_new_primary_that_answers_slowly_is_known_by_the_status_in_front() -> None:
+    """The role comes in front of an answer that may take long: the balancer is told at once."""
     rig = Rig()
     rig.ask("SET", "note:1", "a")
     rig.tell(ev.LinkData(rig.up("p:1"), b"+OK\r\n" + info(True, 5)))
@@ -615,7 +618,7 @@
     assert node.connecting == len([link for link in node.links.values() if not link.up])
 
 
-def test_a_member_that_is_listed_no_more_gets_nothing_and_its_links_go() -> None:
+def test_a_member_that_is_no_longer_listed_gets_nothing_and_its_links_are_closed() -> None:
     rig = Rig()
     rig.tell(ev.ClientOpened(2))
     rig.ask("GET", "alert:1", client=2)
@@ -653,7 +656,7 @@
     assert not any(b"SET" in data for data in rig.sent.values()) or wrong[0] == "MGET"
 
 
-def test_a_mark_that_is_news_here_makes_the_router_ask_the_group() -> None:
+def test_a_mark_with_an_unknown_history_makes_the_router_probe_the_group() -> None:
     rig = Rig()
     rig.ask("SET", "note:1", "a")
     rig.tell(ev.LinkData(rig.up("p:1"), b"+OK\r\n" + info(True, 5)))
@@ -666,9 +669,9 @@
     assert all(node.probes for node in rig.machine.nodes.values())
 
 
-def test_nothing_new_is_begun_behind_a_lump_of_answers() -> None:
-    """Answers held back by the first of a line go out together: until it is known that the client reads them, a second
-    line's worth is not asked for."""
+def test_no_command_is_started_after_a_large_batch_of_answers_until_they_are_read() -> None:
+    """Answers that waited for the first one of a pipeline go out together. Unread, they would pile up in memory, so no
+    new command is started until it is known that the client reads them."""
     rig = Rig(pipeline=2)
     for _ in range(6):
         rig.ask("GET", "alert:1")
@@ -688,8 +691,8 @@
     assert len(rig.machine.open) == 2
 
 
-def test_a_read_whose_place_behind_it_is_not_told_leaves_a_mark_of_now() -> None:
-    """What stands in front of a read may be older than what it showed, so it makes no mark."""
+def test_a_read_without_a_status_answer_behind_it_leaves_a_mark_of_the_present() -> None:
+    """A status answer in front of a read may be older than the data, so it must not become the session's mark."""
     rig = Rig()
     rig.machine.front.config = msgspec.structs.replace(rig.config, sessions="connection")  # type: ignore[attr-defined]
     rig.ask("SET", "note:1", "x")
@@ -705,7 +708,7 @@
     assert rig.answer(2) == b"$6\r\nwest=?\r\n"
 
 
-# ---- what mutants showed to be unwatched
+# ---- behaviour that mutation testing found untested
 
 
 def test_a_bounded_read_is_served_from_data_as_old_as_its_bound_and_no_older() -> None:
@@ -751,12 +754,12 @@
     rig.ask("SET", "note:1", "a")
     link = rig.up("p:1")
     rig.tell(ev.LinkData(link, b"+OK\r\n" + info(True, 5)))
-    rig.tell(ev.LinkLost(link, "reset"))  # while it had nothing to do
+    rig.tell(ev.LinkLost(link, "reset"))  # while it was idle
     assert link not in rig.machine.links and not any(rig.machine.nodes["p"].idle.values())
     rig.ask("SET", "note:1", "b")
     other = rig.up("p:1")
     assert other != link and b"\r\nb\r\n" in rig.sent[other]
-    rig.tell(ev.ClientLost(1))  # its attempt is cut off, and its link with it
+    rig.tell(ev.ClientLost(1))  # its attempt is cancelled, which closes the link
     assert (
         other in rig.closed and other not in rig.machine.links and other not in rig.machine.nodes["p"].links
     )
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -1,4 +1,4 @@
-"""Moments that few days have: the crossing is forced, in virtual time, never hoped for."""
+"""Rare races on the platform, each one forced in virtual time; also settings with absent values and discovery."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def cut_off(site: Site, name: str) -> None:
-    """The node closes all its connections."""
+    """Make a node close all its connections."""
     node = site.nodes[name]
     for peer in list(node.connections):
         assert peer.handle is not None
@@ -51,18 +51,18 @@
     """The data that a replica is known to have is 0.8 s old when its connection comes up 0.2 s late."""
     site = Site(settings=NO_PROBES)
     caller = Caller(site)
-    assert value(caller.ask(site.read("own", "k", after=1)))  # who is where is known from answers alone
+    assert value(caller.ask(site.read("own", "k", after=1)))  # the balancer learns roles from answers alone
     for name in ("r1", "r2"):
         member = site.machine.balancer.members[name]
         member.position = site.world.now() - 0.7  # 0.1 s short of the bound
         cut_off(site, name)
         site.world.late[site.nodes[name].address] = 0.2
     site.run(0.005)
-    site.machine.balancer.members["p"].load = 1e6  # so a replica is drawn
+    site.machine.balancer.members["p"].load = 1e6  # so the balancer chooses a replica
     seen = {name: len(node.seen) for name, node in site.nodes.items()}
     caller.say(frames.query(site.read("view", "k").encode()), 0.01)
     assert len(site.machine.flying) == 1
-    site.machine.balancer.members["p"].load = 0.0  # and may serve it later
+    site.machine.balancer.members["p"].load = 0.0  # so the primary may serve it later
     site.run(0.3)
     for name in ("r1", "r2"):
         assert len(site.nodes[name].seen) == seen[name]
@@ -90,7 +90,7 @@
 def test_a_keyed_repeat_leaves_only_within_its_window_however_late_its_connection(
     window: float, runs: int
 ) -> None:
-    """The first attempt breaks at once; the repeat waits 0.2 s for a connection, twice."""
+    """The first attempt breaks after 0.1 s; the repeat waits 0.2 s for a connection, twice."""
     site = Site(settings=with_service(3, semantics="dedup", window_s=window, balancers=20))
     caller = Caller(site)
     assert value(caller.ask(site.write("k", "01")))
@@ -105,14 +105,14 @@
     caller.say(frames.query(site.write("k", "02").encode()), 1.9)
     assert len(node.seen) == before + runs
     told = caller.told()
-    if runs == 1:  # a repeat by the client could run a second time as well
+    if runs == 1:  # a repeat by the client could run a second time, too
         assert code(told) == "40003"
     else:
         assert value(told) == b"\x02"
 
 
 def test_a_refusal_of_what_may_have_run_leaves_its_client_time_to_come_back_within_the_window() -> None:
-    site = Site(settings=with_service(3, semantics="dedup", window_s=0.9))  # clients are told to wait for 1 s
+    site = Site(settings=with_service(3, semantics="dedup", window_s=0.9))  # retry-after is 1 s
     caller = Caller(site)
     assert value(caller.ask(site.write("k", "01")))
     for _ in range(8):
@@ -168,15 +168,15 @@
     while not site.machine.flying:
         site.run(0.00001)
     (attempt,) = site.machine.flying.values()
-    assert attempt.link is not None  # written, and not there yet
+    assert attempt.link is not None  # written, but not yet at the node
     cut_off(site, attempt.node.name)
     site.run(0.1)
     assert len(site.nodes[attempt.node.name].seen) == seen[attempt.node.name]
     told = caller.told()
     if kind == "save":
-        assert code(told) == "40003"  # nobody can tell that it has not run
+        assert code(told) == "40003"  # the router can't tell that it has not run
     else:
-        assert value(told) == b"\x01"  # by another member
+        assert value(told) == b"\x01"  # served by another member
     site.balanced()
 
 
@@ -202,10 +202,10 @@
     site.run(0.005)
     address = site.nodes["p"].address
     site.world.late[address] = 1.5
-    site.run_later(0.1, site.world.late.clear)  # the next one is as quick as ever
+    site.run_later(0.1, site.world.late.clear)  # the next connection is not delayed
     caller.say(frames.query(site.write("k", "02").encode()), 0.8)
     assert value(caller.told()) == b"\x02"
-    site.run(1.0)  # the late one is up by now, and of use
+    site.run(1.0)  # the late connection is established by now, and usable
     assert value(Caller(site).ask(site.write("k", "03"))) == b"\x03"
     assert not any(node.connecting for node in site.machine.nodes.values())
     site.balanced()
@@ -237,7 +237,7 @@
 
 @pytest.mark.parametrize("moment", ["accepted", "read", "waiting"])
 def test_a_request_that_sigterm_crosses_is_answered(moment: str) -> None:
-    """The signal comes between accept and first read, right after the read, or while it waits for a connection."""
+    """SIGTERM comes between accept and first read, right after the read, or while a connection is awaited."""
     site = Site()
     first = Caller(site)
     assert value(first.ask(site.write("k", "01")))
@@ -263,7 +263,7 @@
 
 
 def test_a_client_that_leaves_with_a_full_pipeline_takes_with_it_what_has_not_begun() -> None:
-    """Its end stands behind commands that were never read: nobody looks at its connection any more."""
+    """The end of a paused client's stream is behind commands that are never read, but must still be noticed."""
     site = Site()
     caller = Caller(site)
     assert value(caller.ask(site.write("k", "01")))
@@ -283,7 +283,7 @@
     site.balanced()
 
 
-# ---- settings of another customer
+# ---- other settings
 
 
 def test_where_there_are_no_tenants_requests_name_none() -> None:
@@ -291,7 +291,7 @@
     caller = Caller(site)
     assert value(caller.ask(site.write("k", "01").replace("t=acme,", ""))) == b"\x01"
     assert value(caller.ask(site.read("any", "k").replace("t=acme,", ""))) == b"\x01"
-    assert value(caller.ask(site.read("any", "k"))) == b"\x01"  # and if they do, it is no fault
+    assert value(caller.ask(site.read("any", "k"))) == b"\x01"  # a tenant that is named is no error
     site.balanced()
 
 
@@ -316,7 +316,7 @@
 
 
 def test_settings_that_are_null_or_absent_are_read_as_not_told() -> None:
-    """Each figure alone, null and absent; what has no default is refused with its name."""
+    """Each setting alone is null or absent; one without a default is rejected with its name."""
     plain = parse_settings(SETTINGS)
     for table in ("allowed", "rules", "family_info"):
         for name in SETTINGS[table]:
@@ -367,7 +367,7 @@
 
 
 def test_machines_with_other_settings_in_one_process_do_not_touch_one_another() -> None:
-    """Two customers side by side: what one learns, limits or forbids is not the other's."""
+    """Two machines side by side share no learnt latencies, limits or classes."""
     world = World(1)
     others = {**with_service(3, semantics="dedup", window_s=0.5, name="pay"), "tenants": [], "balancers": 20}
     first, second = Site(world=world), Site(world=World(2), settings=others)
@@ -389,6 +389,7 @@
 
 
 def pushed() -> dict[str, Any]:
+    """Settings under which the catalogue pushes its lists."""
     rules = {name: figure for name, figure in SETTINGS["rules"].items() if name != "ask_within_s"}
     return {**SETTINGS, "membership_mode": "automatic", "rules": rules}
 
@@ -407,7 +408,7 @@
 
 
 def test_where_lists_are_pushed_an_outage_is_not_missed_by_more_than_part_of_the_grace() -> None:
-    """The catalogue is down for 20 s; at its return a drain counts at once."""
+    """The catalogue is down for 20 s; when it is back, the router learns of a drain within 0.55 s."""
     site = Site(settings=pushed())
     assert site.catalogue.listener is not None
     site.catalogue.listener.close()
@@ -421,12 +422,12 @@
     site.run(0.55)
     assert len(site.catalogue.calls) > asked and draining(site)
     failures = [fields for event, fields in site.notes if event == "discovery failed"]
-    assert 20 < len(failures) < 120  # no storm, and never silent for long
+    assert 20 < len(failures) < 120  # neither a flood of retries nor a long pause
 
 
 def test_a_sighup_with_the_same_address_opens_a_watch_anew_that_has_fallen_silent() -> None:
     site = Site()
-    site.catalogue.waiting.clear()  # it will never answer that call
+    site.catalogue.waiting.clear()  # the pending call is never answered
     site.catalogue.list("r1", site.nodes["r1"].address, state="DRAINING")
     site.run(0.5)
     assert not draining(site)
@@ -439,7 +440,7 @@
     settings = {
         **SETTINGS,
         "rules": {**SETTINGS["rules"], "ask_within_s": 120.0},
-    }  # of which a retry takes a part
+    }  # a long bound, of which the retry's pause is a part
     site = Site(settings=settings)
     site.catalogue.waiting.clear()
     site.catalogue.list("r1", site.nodes["r1"].address, state="DRAINING")
