--- a/banklift/net/sockets.py
+++ b/banklift/net/sockets.py
@@ -1,30 +1,32 @@
-"""The surroundings on sockets, under anyio on any of its back ends.
-
-Theory of operation. One task waits for all sockets at once: they are registered with an epoll object, and anyio waits
-until that is readable. What is ready is read and told to its peer, a few sockets at a time; what is sent meanwhile is
-gathered and written once for each socket when the few are done. So a request costs no task and no switch of tasks, and
-what many answers say to one client goes out in one piece. Before it goes back to the event loop the task polls for
-the next event, half a millisecond at most, and for five milliseconds in all. A second task keeps the timers. (Weighed
-and measured: docs/router.md.)
-
-Where nothing else needs the event loop (`alone`), the one task waits in the epoll object itself until the next timer,
-and gives the loop its turn, for signals, only every `TURN` seconds: system calls cost more than all else there, and
-going through the loop takes five for each wait.
-
-That the other end of a connection that was accepted has closed its side, or is gone, is told before what it sent and
-was not read yet, also where it is paused, and in each round before all else: a client that leaves is owed nothing, and
-nothing may be begun for it, however much else there is to do or however long this process stood still.
-
-A peer is told when what is unsent piles up, and when it has gone down again. That shows when what was gathered is
-written, so no more than `HIGH_WATER` is gathered, for all of them together, before the next event is told: else a slow
-reader's peer would go on making answers for as long as the round lasts. Everything belongs to the task group.
-
-A connection that is finished ends in order, by a lingering close: what is unsent goes out, the sending side is shut,
-and it is closed when the other end has closed as well, or after `LINGERING_CLOSE` seconds. The kernel answers bytes
-that nobody reads with a reset, and a reset can destroy an answer that the other end has not read yet. What the other
-end still sends is not read: a request that crosses the end was not taken, and who sent it may send it again elsewhere.
-Only where nothing can be a request any more (`away`) up to `DISCARD_LIMIT` bytes are read and dropped, so that one who
-reads only after writing all gets its answer.
+"""`Env` on real sockets, under anyio with any of its back ends.
+
+Theory of operation. One task serves all sockets. They are registered with an epoll object, and anyio waits until that
+object is readable. Sockets that are ready are read in small batches and their data is passed to their peers. What the
+peers send is queued and written once for each socket at the end of the batch. So a request costs neither a task nor a
+task switch, and many answers to one client go out in one write. Before the task returns to the event loop it polls for
+the next event, for at most half a millisecond at a time and five milliseconds in all. A second task runs the timers.
+docs/router.md has the measurements behind this design.
+
+With `alone`, nothing else needs the event loop. One task then waits in the epoll object itself until the next timer is
+due, and yields to the event loop, which handles signals, only every `EVENT_LOOP_INTERVAL_SECONDS`. System calls are the
+largest cost here, and a wait that goes through the event loop takes five of them.
+
+When the other end of an accepted connection has closed its side, or is gone, the peer is told in each batch before all
+other events, even if reading is paused and before data that is still unread. No request may be started for a client
+that has left, however much other work there is and however long this process was stopped.
+
+A peer is told when its unsent bytes exceed `HIGH_WATER_BYTES`, and again when they have gone down. That becomes known
+only when the queues are written. So at most `HIGH_WATER_BYTES`, for all connections together, are queued before the
+next event is handled; otherwise a slow reader's peer would go on making answers until the end of the batch.
+
+All connections and timers belong to the task group.
+
+A connection that is finished ends by a lingering close. The unsent bytes go out, the sending side is shut down, and the
+socket is closed when the other end has closed as well, or after `LINGERING_CLOSE_SECONDS`. The reason is that the
+kernel answers unread bytes with a reset, and a reset can destroy an answer that the other end has not read yet. What
+the other end sends meanwhile is not read: a request that arrives after the end was not accepted, and its client may
+send it again elsewhere. Only with `away`, where the input can't contain a request any more, up to `DISCARD_LIMIT_BYTES`
+are read and discarded, so that a client that reads only after it has written everything still gets its answer.
 """
 
 from __future__ import annotations
@@ -43,49 +45,53 @@
 
 from banklift.net.env import Listener, Peer
 
-CHUNK = 64 * 1024  # bytes read at once
-HIGH_WATER = 1024 * 1024  # bytes unsent beyond which the other end is a slow reader
-BACKLOG = 1024
-AT_ONCE = 16  # sockets served before what they caused is written
-MOST_READY = 512  # sockets looked at in a round for those whose other end has gone
-# seconds that the next event is waited for in place: going back to the loop costs a fifth of that
-BUSY_POLL = 0.0005
-SLICE = 0.005  # seconds after which other tasks have their turn
-TURN = 0.05  # ... where nothing waits for one: the longest wait in place, should a signal not end it
-# seconds in which the other end of a finished connection may end its side, once all was sent
-LINGERING_CLOSE = 0.5
-# ... and in which it may read what is unsent: longer than anybody waits for an answer
-SLOW_READER_CLOSE = 3.0
-DISCARD_LIMIT = 256 * 1024  # bytes that are read away of one that is finished
-# finished connections that are waited for; they hold descriptors, so beyond that one goes
-MOST_LINGERING = 32
-TICK = 0.001  # seconds that timers may be late, so that many ring together
-BIND_ADDRESS_NO_PORT = 24  # of IP: the port is chosen at connect, so many connections share a source
-IN, OUT, GONE = select.EPOLLIN, select.EPOLLOUT, select.EPOLLRDHUP
-BROKEN = select.EPOLLERR | select.EPOLLHUP  # told whether asked for or not
-EXHAUSTED = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-PAUSE = 0.1  # seconds without accepting when descriptors run out
-
-
-class Ready(Protocol):
-    """What waits in the epoll object."""
-
-    def ready(self, events: int) -> None: ...
+IO_CHUNK_BYTES = (
+    64 * 1024
+)  # bytes read at once, or written at once of those that the kernel did not take at first
+HIGH_WATER_BYTES = 1024 * 1024  # unsent bytes of a connection above which the other end is a slow reader
+LISTEN_BACKLOG = 1024  # connections that the kernel holds until they are accepted
+MAX_SOCKETS_PER_BATCH = 16  # sockets whose events are handled before the queued answers are written
+MAX_POLLED_SOCKETS = 512  # sockets that one poll may report, among which closed ones are handled first
+# longest poll for the next event before the task returns to the event loop, which costs a fifth of this time
+BUSY_POLL_SECONDS = 0.0005
+TIME_SLICE_SECONDS = 0.005  # time after which the task that serves the sockets yields to other tasks
+EVENT_LOOP_INTERVAL_SECONDS = (
+    0.05  # time after which the event loop runs with `alone`, should no signal end the wait
+)
+LINGERING_CLOSE_SECONDS = 0.5  # time for the other end to close a finished connection on which all was sent
+# time for the other end to read the unsent bytes of a finished connection; clients give up on answers earlier
+SLOW_READER_CLOSE_SECONDS = 3.0
+DISCARD_LIMIT_BYTES = 256 * 1024  # input of a finished connection that is read and discarded
+MOST_LINGERING = 32  # finished connections that wait for the other end; bounded, as each holds a descriptor
+TIMER_RESOLUTION_SECONDS = 0.001  # timers may be this late, so that several of them run in one wake-up
+# Linux socket option: the local port is chosen at connect, so that many connections can share a source address
+IP_BIND_ADDRESS_NO_PORT = 24
+READABLE, WRITABLE, HALF_CLOSED = select.EPOLLIN, select.EPOLLOUT, select.EPOLLRDHUP
+FAILED = select.EPOLLERR | select.EPOLLHUP  # epoll always reports these, whether they were requested or not
+RESOURCE_EXHAUSTION_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+ACCEPT_PAUSE_SECONDS = 0.1  # time without accepting after the process ran out of descriptors or memory
+
+
+class EventHandler(Protocol):
+    """Handles the events of one descriptor that is registered with the epoll object."""
+
+    def ready(self, events: int) -> None:
+        """Handle `events`, a mask of epoll events."""
 
 
 class SocketHandle:
-    """One connection."""
+    """One TCP connection, accepted or outgoing. Implements `Handle`."""
 
     __slots__ = (
-        "_accepted",
-        "_away",
-        "_connecting",
-        "_end_told",
+        "_discardable_bytes",
         "_env",
         "_events",
-        "_finishing",
-        "_full",
-        "_gathered",
+        "_half_close_reported",
+        "_is_accepted",
+        "_is_connecting",
+        "_is_finished",
+        "_is_slow_reader",
+        "_queued",
         "_sock",
         "_unsent",
         "closed",
@@ -96,36 +102,38 @@
         self._env = env
         self.peer = peer
         self._sock = sock
-        self._connecting = connecting
-        self._accepted = not connecting
-        self._end_told = False  # that the other end has closed its side
-        self._events = 0
-        self._unsent = bytearray()
-        self._gathered: list[bytes] = []
-        self._finishing = False
-        self._away = 0  # bytes that may still be read away, once it is finished
-        self._full = False
+        self._is_connecting = connecting
+        self._is_accepted = not connecting
+        self._half_close_reported = False  # whether the peer knows that the other end has closed its side
+        self._events = 0  # epoll events that are requested; 0: not registered
+        self._unsent = bytearray()  # bytes that the kernel did not take yet
+        self._queued: list[bytes] = []  # chunks sent since the last flush
+        self._is_finished = False
+        self._discardable_bytes = 0  # bytes that may still be read and discarded, once it is finished
+        self._is_slow_reader = False
         self.closed = False
 
     @property
-    def sent(self) -> bool:
-        """Whether all that was to be sent has gone out."""
-        return not self._unsent and not self._gathered
+    def all_sent(self) -> bool:
+        """Whether the kernel has taken all bytes that were sent."""
+        return not self._unsent and not self._queued
 
     @property
     def source(self) -> str:
+        """The other end's address, without port; empty if the connection has broken."""
         try:
             return str(self._sock.getpeername()[0])
         except OSError:
-            return ""  # gone already
+            return ""
 
-    def _want(self, events: int) -> None:
-        """Hear of these from now on; of nothing at all while it is 0, not even of its end."""
-        env, had = self._env, self._events
-        if events == had:
+    def _set_events(self, events: int) -> None:
+        """Request these epoll events from now on. With 0 the socket is unregistered, so that not even its end is
+        reported."""
+        env, registered_events = self._env, self._events
+        if events == registered_events:
             return
         fd = self._sock.fileno()
-        if not had:
+        if not registered_events:
             env.by_fd[fd] = self
             env.epoll.register(fd, events)
         elif not events:
@@ -136,159 +144,166 @@
         self._events = events
 
     def send(self, data: bytes) -> None:
-        if self.closed or self._finishing:
+        """Queue `data` for the flush at the end of the batch; nothing if the connection is finished or closed."""
+        if self.closed or self._is_finished:
             return
-        if not self._gathered:
-            self._env.gather(self)
-        self._gathered.append(data)
-        self._env.piled += len(data)
+        if not self._queued:
+            self._env.queue_flush(self)
+        self._queued.append(data)
+        self._env.queued_bytes += len(data)
 
     def flush(self) -> None:
-        """Write what was gathered, as far as the socket takes it."""
-        if not self._gathered:  # written already, as it was finished
+        """Write the queued chunks, as far as the socket takes them."""
+        if not self._queued:  # `finish` has flushed them already
             return
-        data = self._gathered[0] if len(self._gathered) == 1 else b"".join(self._gathered)
-        self._gathered.clear()
+        data = self._queued[0] if len(self._queued) == 1 else b"".join(self._queued)
+        self._queued.clear()
         if self.closed:
             return
-        if not self._unsent and not self._connecting:
+        if not self._unsent and not self._is_connecting:
             try:
                 sent = self._sock.send(data)
             except (BlockingIOError, InterruptedError):
                 sent = 0
             except OSError as error:
-                self._break(str(error))
+                self._fail(str(error))
                 return
             if sent == len(data):
-                if self._finishing:
-                    self._shut()
+                if self._is_finished:
+                    self._shut_down_sending()
                 return
             data = data[sent:]
-            self._want(self._events | OUT)
+            self._set_events(self._events | WRITABLE)
         self._unsent += data
-        if len(self._unsent) > HIGH_WATER and not self._full and not self._finishing:
-            self._full = True
+        if len(self._unsent) > HIGH_WATER_BYTES and not self._is_slow_reader and not self._is_finished:
+            self._is_slow_reader = True
             self.peer.full()
 
     def finish(self, away: bool = False) -> None:
-        if self.closed or self._finishing:
+        """End the connection by a lingering close. `away`: read and discard up to `DISCARD_LIMIT_BYTES` meanwhile."""
+        if self.closed or self._is_finished:
             return
-        self._finishing = True
-        self._away = DISCARD_LIMIT if away else 0
-        if self._gathered:
-            self.flush()  # at once, so that what has nothing unsent is known to be such
-        elif self.sent:
-            self._shut()
-        if not self.closed and not self.sent:
-            self._env.linger(self, SLOW_READER_CLOSE)
-            self._want(self._events & OUT)
-
-    def _shut(self) -> None:
-        """All was sent: say so, and wait for the other end."""
+        self._is_finished = True
+        self._discardable_bytes = DISCARD_LIMIT_BYTES if away else 0
+        if self._queued:
+            self.flush()  # at once, as `linger` distinguishes connections with and without unsent bytes
+        elif self.all_sent:
+            self._shut_down_sending()
+        if not self.closed and not self.all_sent:
+            self._env.linger(self, SLOW_READER_CLOSE_SECONDS)
+            self._set_events(self._events & WRITABLE)
+
+    def _shut_down_sending(self) -> None:
+        """Shut down the sending side after the last byte, and wait for the other end to close."""
         try:
             self._sock.shutdown(socket.SHUT_WR)
-        except OSError:  # it has gone already
+        except OSError:  # the connection has broken already
             self.close()
             return
-        if self._env.linger(self, LINGERING_CLOSE):
-            self._want(IN if self._away else GONE)
+        if self._env.linger(self, LINGERING_CLOSE_SECONDS):
+            self._set_events(READABLE if self._discardable_bytes else HALF_CLOSED)
         else:
             self.close()
 
     def close(self) -> None:
+        """Close at once; the peer is not told."""
         if not self.closed:
             self.closed = True
             self._env.lingering.pop(self, None)
             if self._events:
                 self._events = 0
                 del self._env.by_fd[self._sock.fileno()]
-            self._sock.close()  # which takes it out of the epoll object too
+            self._sock.close()  # also unregisters it from the epoll object
             self._env.handles.discard(self)
 
     def pause(self) -> None:
-        if not self.closed and self._events & IN:
-            self._want(self._events & ~IN | (0 if self._end_told else GONE))
+        """Stop reading. The close of the other end is still reported."""
+        if not self.closed and self._events & READABLE:
+            self._set_events(self._events & ~READABLE | (0 if self._half_close_reported else HALF_CLOSED))
 
     def resume(self) -> None:
-        if not self.closed and not self._connecting:
-            self._want(self._events & ~GONE | self._reading())
+        """Read again after `pause`."""
+        if not self.closed and not self._is_connecting:
+            self._set_events(self._events & ~HALF_CLOSED | self._read_events())
 
-    def _reading(self) -> int:
-        """What is asked of the epoll object while it is read."""
-        return IN | (GONE if self._accepted and not self._end_told else 0)
+    def _read_events(self) -> int:
+        """The epoll events that are requested while the connection is read."""
+        return READABLE | (HALF_CLOSED if self._is_accepted and not self._half_close_reported else 0)
 
-    def _break(self, reason: str) -> None:
+    def _fail(self, reason: str) -> None:
+        """Close, and tell the peer that the connection is lost unless it has finished it."""
         if not self.closed:
             self.close()
-            if not self._finishing:
+            if not self._is_finished:
                 self.peer.lost(reason)
 
     def ready(self, events: int) -> None:
-        if self._connecting:
+        """Handle epoll events of the socket."""
+        if self._is_connecting:
             code = self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if code:
-                self._break(errno.errorcode.get(code, "connect failed"))
+                self._fail(errno.errorcode.get(code, "connect failed"))
                 return
-            self._connecting = False
-            self._want(IN | (OUT if self._unsent else 0))
+            self._is_connecting = False
+            self._set_events(READABLE | (WRITABLE if self._unsent else 0))
             self.peer.up(self)
             return
-        if events & OUT:
-            self._drain()
-        if events & ~OUT and not self.closed:
-            if self._finishing and not self._away:
+        if events & WRITABLE:
+            self._send_unsent()
+        if events & ~WRITABLE and not self.closed:
+            if self._is_finished and not self._discardable_bytes:
                 self.close()
-            elif self._finishing:
+            elif self._is_finished:
                 self._read()
-            elif events & BROKEN and not self._events & IN:
-                self._break("reset while it was not read")
+            elif events & FAILED and not self._events & READABLE:
+                self._fail("connection reset while reading was paused")
             else:
-                if events & self._events & GONE:  # told once, as it stays so
-                    self._end_told = True
-                    self._want(self._events & ~GONE)
+                if events & self._events & HALF_CLOSED:  # reported once; epoll would go on reporting it
+                    self._half_close_reported = True
+                    self._set_events(self._events & ~HALF_CLOSED)
                     self.peer.half_closed()
-                if self._events & IN and not self._finishing:
+                if self._events & READABLE and not self._is_finished:
                     self._read()
 
     def _read(self) -> None:
         try:
-            data = self._sock.recv(CHUNK)
+            data = self._sock.recv(IO_CHUNK_BYTES)
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
-            self._break(str(error))
+            self._fail(str(error))
             return
-        if self._finishing:
-            self._away -= len(data)
-            if self._away <= 0 or not data:
+        if self._is_finished:
+            self._discardable_bytes -= len(data)
+            if self._discardable_bytes <= 0 or not data:
                 self.close()
         elif data:
             self.peer.data(data)
         else:
-            self._want(self._events & ~IN)
+            self._set_events(self._events & ~READABLE)
             self.peer.eof()
 
-    def _drain(self) -> None:
+    def _send_unsent(self) -> None:
         try:
-            with memoryview(self._unsent) as view, view[:CHUNK] as part:
+            with memoryview(self._unsent) as view, view[:IO_CHUNK_BYTES] as part:
                 sent = self._sock.send(part)
             del self._unsent[:sent]
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
-            self._break(str(error))
+            self._fail(str(error))
             return
-        if self._full and len(self._unsent) <= HIGH_WATER // 2:
-            self._full = False
+        if self._is_slow_reader and len(self._unsent) <= HIGH_WATER_BYTES // 2:
+            self._is_slow_reader = False
             self.peer.free()
         if not self._unsent and not self.closed:
-            self._want(self._events & ~OUT)
-            if self._finishing and not self._gathered:
-                self._shut()
+            self._set_events(self._events & ~WRITABLE)
+            if self._is_finished and not self._queued:
+                self._shut_down_sending()
 
 
-class NoHandle:
-    """A connection for which there was no descriptor: its peer hears that it could not be opened."""
+class FailedHandle:
+    """A connection for which no descriptor was left. A timer tells its peer soon that it could not be opened."""
 
     source = ""
 
@@ -297,24 +312,31 @@
         env.at(0.0, lambda: None if self.closed else peer.lost(reason))
 
     def send(self, data: bytes) -> None:
+        """Do nothing."""
         return
 
     def finish(self, away: bool = False) -> None:
+        """Close; the peer is then not told of the failure."""
         self.closed = True
 
     def close(self) -> None:
+        """Close; the peer is then not told of the failure."""
         self.closed = True
 
     def pause(self) -> None:
+        """Do nothing."""
         return
 
     def resume(self) -> None:
+        """Do nothing."""
         return
 
 
 class SocketListener:
+    """Accepts connections on a listening socket. `accept` makes the peer of each. Implements `Listener`."""
+
     def __init__(self, env: SocketEnv, sock: socket.socket, accept: Callable[[], Peer]) -> None:
-        self._env, self._sock, self._accept = env, sock, accept
+        self._env, self._sock, self._create_peer = env, sock, accept
         host, port = sock.getsockname()[:2]
         self.address = f"{host}:{port}"
         self._fd = sock.fileno()
@@ -323,41 +345,44 @@
     def _register(self) -> None:
         if self._sock.fileno() >= 0:
             self._env.by_fd[self._fd] = self
-            self._env.epoll.register(self._fd, IN)
+            self._env.epoll.register(self._fd, READABLE)
 
     def ready(self, events: int) -> None:
-        for _ in range(AT_ONCE):
-            if not self._take():
+        """Accept waiting connections, at most `MAX_SOCKETS_PER_BATCH`."""
+        for _ in range(MAX_SOCKETS_PER_BATCH):
+            if not self._accept_one():
                 return
 
-    def _take(self) -> bool:
-        """Take one connection that was made; False if there is none, or no descriptor for it."""
+    def _accept_one(self) -> bool:
+        """Accept one connection; False if none is waiting, or no descriptor is left for it."""
         while True:
             try:
                 sock, _ = self._sock.accept()
-            except ConnectionAbortedError:  # this one has gone already; others may be behind it
+            except ConnectionAbortedError:  # its client has left already; others may wait behind it
                 continue
             except (BlockingIOError, InterruptedError):
                 return False
             except OSError as error:
-                if error.errno in EXHAUSTED:  # the open ones go on, new ones wait in the backlog
+                # open connections go on, and new ones wait in the backlog
+                if error.errno in RESOURCE_EXHAUSTION_ERRNOS:
                     self._env.epoll.unregister(self._fd)
                     del self._env.by_fd[self._fd]
-                    self._env.at(self._env.now() + PAUSE, self._register)
+                    self._env.at(self._env.now() + ACCEPT_PAUSE_SECONDS, self._register)
                 return False
             sock.setblocking(False)
-            handle = SocketHandle(self._env, self._accept(), sock, False)
+            handle = SocketHandle(self._env, self._create_peer(), sock, False)
             self._env.handles.add(handle)
-            handle._want(handle._reading())
+            handle._set_events(handle._read_events())
             handle.peer.up(handle)
             return True
 
     def close(self) -> None:
+        """Accept all connections in the backlog, then stop listening. Open connections stay."""
         if self._sock.fileno() >= 0:
-            # all that were made already are taken, however many: the kernel resets the others with what is written
-            # on them. While it runs more may come, so it is bounded by what the backlog can hold twice
-            for _ in range(2 * BACKLOG):
-                if not self._take():
+            # The kernel resets connections that were not accepted, with the requests that are written on them. More of
+            # them may arrive during the loop, so it is bounded by twice the backlog.
+            for _ in range(2 * LISTEN_BACKLOG):
+                if not self._accept_one():
                     break
             if self._env.by_fd.pop(self._fd, None) is not None:
                 self._env.epoll.unregister(self._fd)
@@ -365,57 +390,63 @@
 
 
 class SocketEnv:
-    """`tasks` owns every connection and timer; cancelling it closes them all. `clock` tells seconds. `busy_poll`:
-    seconds that the next event is waited for in place. `alone`: nothing else needs the event loop but signals."""
+    """Sockets and timers on an epoll object. Implements `Env`.
+
+    `tasks` owns every connection and timer; cancelling it closes them all. `clock` returns seconds. `busy_poll` is the
+    time in seconds for which the next event is polled for before the task returns to the event loop. `alone` says that
+    nothing but signals needs the event loop, so that one task can wait in the epoll object itself.
+    """
 
     def __init__(
         self,
         tasks: TaskGroup,
         clock: Callable[[], float] = time.monotonic,
-        busy_poll: float = BUSY_POLL,
+        busy_poll: float = BUSY_POLL_SECONDS,
         alone: bool = False,
     ) -> None:
         self.now = clock
         self.busy_poll = busy_poll
         self.epoll = select.epoll()
-        self.by_fd: dict[int, Ready] = {}
+        self.by_fd: dict[int, EventHandler] = {}
         self.handles: set[SocketHandle] = set()
-        self.lingering: dict[SocketHandle, float] = {}  # finished, not yet closed, in that order: until when
+        self.lingering: dict[
+            SocketHandle, float
+        ] = {}  # when each finished connection is closed; oldest first
         self.stopping = False
-        self._gathered: list[SocketHandle] = []
-        self.piled = 0  # bytes gathered by all of them
-        self._flush_due = False
+        self._to_flush: list[SocketHandle] = []
+        self.queued_bytes = 0  # bytes that all connections have queued since the last flush
+        self._flush_scheduled = False  # whether the end of a batch or a timer will flush
         self._timers: list[tuple[float, int, Callable[[], None]]] = []
-        self._numbers = 0
+        self._timer_count = 0  # orders timers of one time by their creation
         self._sleeping_until = -math.inf
-        self._alarm = anyio.Event()
+        self._earlier_timer_added = anyio.Event()
         if alone:
-            tasks.start_soon(self._serve_alone)
+            tasks.start_soon(self._serve_in_one_task)
         else:
             tasks.start_soon(self._serve)
-            tasks.start_soon(self._timing)
+            tasks.start_soon(self._run_timers)
 
     async def _serve(self) -> None:
         try:
             while True:
                 await anyio.wait_readable(self.epoll)
-                end = self.now() + SLICE
+                end = self.now() + TIME_SLICE_SECONDS
                 wait = self.busy_poll
-                while ready := self.epoll.poll(wait, MOST_READY):
-                    # where much is ready, more comes anyway
+                while ready := self.epoll.poll(wait, MAX_POLLED_SOCKETS):
+                    # with several sockets ready, more are likely to be by the next poll, so it need not wait
                     wait = self.busy_poll if len(ready) == 1 else 0.0
-                    self._flush_due = True
+                    self._flush_scheduled = True
                     self._serve_batch(ready)
                     self._flush()
                     now = self.now()
                     if self._timers and self._timers[0][0] <= now:
-                        self._ring(now)
+                        self._run_due_timers(now)
                     if now >= end:
                         break
         finally:
             self._close()
 
-    async def _serve_alone(self) -> None:
+    async def _serve_in_one_task(self) -> None:
         timers, end = self._timers, 0.0
         try:
             while not self.stopping:
@@ -423,31 +454,32 @@
                 if now >= end:
                     await anyio.lowlevel.checkpoint()
                     now = self.now()
-                    end = now + TURN
+                    end = now + EVENT_LOOP_INTERVAL_SECONDS
                 wait = min(end, timers[0][0] if timers else end) - now
-                self._flush_due = True
-                self._serve_batch(self.epoll.poll(max(TICK, wait), MOST_READY))
+                self._flush_scheduled = True
+                self._serve_batch(self.epoll.poll(max(TIMER_RESOLUTION_SECONDS, wait), MAX_POLLED_SOCKETS))
                 self._flush()
                 now = self.now()
                 if timers and timers[0][0] <= now:
-                    self._ring(now)
+                    self._run_due_timers(now)
         finally:
             self._close()
 
     def _serve_batch(self, ready: list[tuple[int, int]]) -> None:
-        """Tell of what is ready: first of other ends that have gone, then of `AT_ONCE` others; the rest stays ready.
+        """Handle all closes by other ends, then up to `MAX_SOCKETS_PER_BATCH` other sockets. The rest stays ready and
+        is reported by the next poll.
 
-        A descriptor that is closed on the way may be another's before its turn has come: what was ready is told to who
-        had it when the batch was taken, or to nobody.
+        A descriptor may be closed and reused by another connection during the batch. So an event is handled only if
+        its descriptor still belongs to the handler that had it when the batch was polled.
         """
         by_fd = self.by_fd
         found = [(fd, events, by_fd.get(fd)) for fd, events in ready]
-        gone = [one for one in found if one[1] & GONE]
-        others = [one for one in found if not one[1] & GONE]
-        for fd, events, reader in gone + others[:AT_ONCE]:
-            if reader is not None and by_fd.get(fd) is reader:
-                reader.ready(events)
-                if self.piled > HIGH_WATER:
+        half_closed = [one for one in found if one[1] & HALF_CLOSED]
+        others = [one for one in found if not one[1] & HALF_CLOSED]
+        for fd, events, handler in half_closed + others[:MAX_SOCKETS_PER_BATCH]:
+            if handler is not None and by_fd.get(fd) is handler:
+                handler.ready(events)
+                if self.queued_bytes > HIGH_WATER_BYTES:
                     self._flush(True)
 
     def _close(self) -> None:
@@ -458,102 +490,113 @@
         self.epoll.close()
 
     def stop(self) -> None:
-        """End the one task and with it all connections; for surroundings of their own (`alone`)."""
+        """End the task that serves all sockets, and with it all connections. Only with `alone`."""
         self.stopping = True
 
-    def watch(self, fd: int, reader: Ready) -> None:
-        """Tell `reader` when `fd`, which stays its own, can be read."""
+    def watch(self, fd: int, reader: EventHandler) -> None:
+        """Call `reader.ready` whenever `fd` is readable. The caller still owns `fd`."""
         self.by_fd[fd] = reader
-        self.epoll.register(fd, IN)
+        self.epoll.register(fd, READABLE)
 
     def linger(self, handle: SocketHandle, seconds: float) -> bool:
-        """It was finished, and is closed after that time at the latest. False: it is to be closed at once, as too many
-        end; those that only wait for the other end make room, before any that has something unsent."""
+        """Close a finished connection after `seconds` at the latest.
+
+        Where `MOST_LINGERING` are waiting already, one of them is closed first: the oldest with all sent, else the
+        oldest of all. Returns False, and does nothing, where that one is `handle` itself: it has no unsent bytes, and
+        all the others have; the caller closes it.
+        """
         self.lingering.pop(handle, None)
         while len(self.lingering) >= MOST_LINGERING:
-            spare = handle if handle.sent else next(iter(self.lingering))
-            first = next((one for one in self.lingering if one.sent), spare)
-            if first is handle:
+            fallback = handle if handle.all_sent else next(iter(self.lingering))
+            evicted = next((one for one in self.lingering if one.all_sent), fallback)
+            if evicted is handle:
                 return False
-            first.close()
+            evicted.close()
         until = self.lingering[handle] = self.now() + seconds
         self.at(until, lambda: handle.close() if self.lingering.get(handle) == until else None)
         return True
 
-    def gather(self, handle: SocketHandle) -> None:
-        """It has something to send."""
-        self._gathered.append(handle)
-        if not self._flush_due:  # sent from outside a round: a timer flushes it at once
-            self._flush_due = True
+    def queue_flush(self, handle: SocketHandle) -> None:
+        """Flush `handle` at the end of the current batch, or at once from a timer if none is running."""
+        self._to_flush.append(handle)
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
             self.at(0.0, self._flush)
 
-    def _flush(self, go_on: bool = False) -> None:
-        """`go_on`: the round is not over."""
-        while self._gathered:
-            gathered, self._gathered = self._gathered, []
-            self.piled = 0
-            for handle in gathered:
+    def _flush(self, batch_continues: bool = False) -> None:
+        """Write what all connections have queued. `batch_continues`: the batch will flush again at its end."""
+        while self._to_flush:
+            handles, self._to_flush = self._to_flush, []
+            self.queued_bytes = 0
+            for handle in handles:
                 handle.flush()
-        self._flush_due = go_on
+        self._flush_scheduled = batch_continues
 
     def at(self, when: float, callback: Callable[[], None]) -> None:
-        self._numbers += 1
-        heapq.heappush(self._timers, (when, self._numbers, callback))
+        """Call `callback` at `when`, seconds on `now`'s clock, or soon if that has passed. Not cancellable."""
+        self._timer_count += 1
+        heapq.heappush(self._timers, (when, self._timer_count, callback))
         if when < self._sleeping_until:
-            self._alarm.set()
+            self._earlier_timer_added.set()
 
-    def _ring(self, now: float) -> None:
-        timers, self._flush_due = self._timers, True
+    def _run_due_timers(self, now: float) -> None:
+        timers, self._flush_scheduled = self._timers, True
         while timers and timers[0][0] <= now:
             heapq.heappop(timers)[2]()
-            if self.piled > HIGH_WATER:
+            if self.queued_bytes > HIGH_WATER_BYTES:
                 self._flush(True)
         self._flush()
 
-    async def _timing(self) -> None:
+    async def _run_timers(self) -> None:
         timers = self._timers
         while True:
-            self._ring(self.now())
+            self._run_due_timers(self.now())
             self._sleeping_until = timers[0][0] if timers else math.inf
-            self._alarm = anyio.Event()
-            with anyio.move_on_after(max(TICK, self._sleeping_until - self.now())):
-                await self._alarm.wait()
+            self._earlier_timer_added = anyio.Event()
+            with anyio.move_on_after(max(TIMER_RESOLUTION_SECONDS, self._sleeping_until - self.now())):
+                await self._earlier_timer_added.wait()
             self._sleeping_until = -math.inf
 
     def listen(self, address: str, accept: Callable[[], Peer]) -> Listener:
+        """Listen on `address` (host:port); `accept` makes the peer of each accepted connection.
+
+        Errors: `OSError` if the address can't be bound.
+        """
         host, _, port = address.rpartition(":")
         sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # those that are accepted inherit it
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # accepted sockets inherit it
             sock.bind((host, int(port)))
-            sock.listen(BACKLOG)
+            sock.listen(LISTEN_BACKLOG)
             sock.setblocking(False)
         except OSError:
             sock.close()
             raise
         return SocketListener(self, sock, accept)
 
-    def connect(self, address: str, peer: Peer, source: str | None = None) -> SocketHandle | NoHandle:
+    def connect(self, address: str, peer: Peer, source: str | None = None) -> SocketHandle | FailedHandle:
+        """Start to connect to `address` (host:port), from the local address `source` if given. A failure is told to
+        `peer.lost`, never raised."""
         host, _, port = address.rpartition(":")
         try:
             sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
         except OSError as error:
-            return NoHandle(self, peer, str(error))
+            return FailedHandle(self, peer, str(error))
         sock.setblocking(False)
         handle = SocketHandle(self, peer, sock, True)
         self.handles.add(handle)
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             if source is not None:
-                sock.setsockopt(socket.IPPROTO_IP, BIND_ADDRESS_NO_PORT, 1)
+                sock.setsockopt(socket.IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, 1)
                 sock.bind((source, 0))
             code = sock.connect_ex((host, int(port)))
             if code not in (0, errno.EINPROGRESS):
                 raise OSError(code, errno.errorcode.get(code, "connect failed"))
         except OSError as error:
             reason = str(error)
-            self.at(0.0, lambda: handle._break(reason))
+            self.at(0.0, lambda: handle._fail(reason))
             return handle
-        handle._want(OUT)
+        handle._set_events(WRITABLE)
         return handle
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -19,7 +19,7 @@
 from banklift.emulator.platform import PgNode
 from banklift.emulator.world import World
 from banklift.net.env import Handle, Peer
-from banklift.net.sockets import AT_ONCE, SocketEnv
+from banklift.net.sockets import MAX_SOCKETS_PER_BATCH, SocketEnv
 from banklift.pg import frames
 from banklift.proxy import events as ev
 from tests import test_crowd
@@ -265,7 +265,7 @@
 def test_after_a_busy_time_all_that_have_gone_are_told_before_anything_else(alone: bool, asked: bool) -> None:
     """Many connections are ready when this process looks again; the last ones have closed, with a request unread."""
     notes: list[str] = []
-    stay, go = 3 * AT_ONCE, 2 * AT_ONCE
+    stay, go = 3 * MAX_SOCKETS_PER_BATCH, 2 * MAX_SOCKETS_PER_BATCH
     peers: list[Peer] = [Noting("stays", notes) for _ in range(stay)]
     peers += [Noting("goes", notes) for _ in range(go)]
     callers: list[socket.socket] = []
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -11,7 +11,13 @@
 import pytest
 
 from banklift.net.env import Handle, Peer
-from banklift.net.sockets import AT_ONCE, DISCARD_LIMIT, HIGH_WATER, MOST_LINGERING, SocketEnv
+from banklift.net.sockets import (
+    DISCARD_LIMIT_BYTES,
+    HIGH_WATER_BYTES,
+    MAX_SOCKETS_PER_BATCH,
+    MOST_LINGERING,
+    SocketEnv,
+)
 from tests.surroundings import pair, run
 
 ANSWER = b"answered"
@@ -87,9 +93,9 @@
         caller = socket.create_connection((host, int(port)), timeout=10)
         caller.setblocking(False)
         sent = 0
-        while sent < DISCARD_LIMIT - 1:  # more than is read at once, so a reset would follow the answer
+        while sent < DISCARD_LIMIT_BYTES - 1:  # more than is read at once, so a reset would follow the answer
             try:
-                sent += caller.send(b"x" * min(4096, DISCARD_LIMIT - 1 - sent))
+                sent += caller.send(b"x" * min(4096, DISCARD_LIMIT_BYTES - 1 - sent))
             except BlockingIOError:
                 break
         assert sent > 2 * 64 * 1024
@@ -240,15 +246,21 @@
     callers: list[socket.socket] = []
 
     def act(env: SocketEnv) -> Callable[[], bool]:
-        callers.extend(pair(env, [slow, *(Feeding(slow, fed) for _ in range(AT_ONCE))], AT_ONCE + 1))
+        callers.extend(
+            pair(
+                env,
+                [slow, *(Feeding(slow, fed) for _ in range(MAX_SOCKETS_PER_BATCH))],
+                MAX_SOCKETS_PER_BATCH + 1,
+            )
+        )
         for caller in callers[1:]:  # before any is looked at
             caller.sendall(b"question")
-        return lambda: fed[1] >= AT_ONCE
+        return lambda: fed[1] >= MAX_SOCKETS_PER_BATCH
 
     run(act, alone)
-    assert slow.is_full and fed[1] == AT_ONCE
+    assert slow.is_full and fed[1] == MAX_SOCKETS_PER_BATCH
     # what the kernel holds, what may pile up here, and one answer more
-    held = callers[0].getsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF) + 4 * HIGH_WATER
-    assert LARGE < fed[0] <= held + HIGH_WATER + LARGE < AT_ONCE * LARGE
+    held = callers[0].getsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF) + 4 * HIGH_WATER_BYTES
+    assert LARGE < fed[0] <= held + HIGH_WATER_BYTES + LARGE < MAX_SOCKETS_PER_BATCH * LARGE
     for caller in callers:
         caller.close()
