--- a/banklift/net/router.py
+++ b/banklift/net/router.py
@@ -1,4 +1,4 @@
-"""A router in its surroundings: carries out what the machine says."""
+"""A router's machine on an `Env`: passes it events, and performs the actions that it returns."""
 
 from __future__ import annotations
 
@@ -10,17 +10,19 @@
 from banklift.proxy.machine import Machine
 
 Log = Callable[[str, dict[str, object]], None]
-BEAT = 0.1  # seconds between looks at whether this process stood still
-STALL = 0.3  # seconds between two looks from which it did
-# seconds after a stall until what came in meanwhile is begun: clients that left are known by then
-SETTLE = 0.01
+STALL_CHECK_INTERVAL_SECONDS = 0.1  # interval of the checks whether this process was stopped
+STALL_THRESHOLD_SECONDS = 0.3  # time between two checks above which the process counts as having been stopped
+# Requests that arrived during a stall are started this long after it, as closes by their clients are known by then.
+STALL_SETTLE_SECONDS = 0.01
 
 
 class RouterHost:
-    """Runs one machine at `address`. `log` gets its notes; `source`: local address of links to members; `ask` asks for
-    the list of members, its changes from now on or once the whole.
+    """Runs one machine that listens at `address` (host:port).
 
-    Errors: `OSError` if the address can't be had.
+    `log` gets the machine's log events. `source` is the local address of links to members. `request_roster` asks for
+    the list of members: for its changes from now on if its argument is true, else once for the whole list.
+
+    Errors: `OSError` if the address can't be bound.
     """
 
     def __init__(
@@ -30,38 +32,41 @@
         address: str,
         log: Log,
         source: str | None = None,
-        ask: Callable[[bool], None] = lambda watch: None,
+        request_roster: Callable[[bool], None] = lambda watch: None,
     ) -> None:
         self.env = env
         self.machine = machine
         self.log = log
         self.source = source
-        self.ask = ask
+        self.request_roster = request_roster
         self.clients: dict[int, Handle] = {}
         self.links: dict[int, Handle] = {}
-        self.client_ids = 0
-        self.dead = False
-        self.beat = env.now()
-        self.stood_from, self.stood_until = 0.0, -math.inf  # the last stall, and when it was noticed
-        self.stalled_until = -math.inf
-        self.stalled: list[Callable[[], None]] | None = None  # what has come in meanwhile
-        self._heartbeat()
-        self.alarm = Alarm(env, self._due, lambda: self.tell(ev.Wake()))
+        self.last_client_id = 0
+        self.dead = False  # killed: nothing acts any more
+        self.last_check = env.now()
+        self.stall_began = 0.0  # the last check before the last stall
+        self.stall_noticed = -math.inf  # the first check after it
+        self.frozen_until = -math.inf  # end of a simulated stall
+        # events that arrived during a simulated stall; None without one
+        self.deferred_calls: list[Callable[[], None]] | None = None
+        self._check_for_stall()
+        self.alarm = Alarm(env, self._wake_time, lambda: self.tell(ev.Wake()))
         self.listener = env.listen(address, lambda: _ClientPeer(self))
 
     @property
     def address(self) -> str:
+        """Where it listens, as host:port."""
         return self.listener.address
 
-    def _due(self) -> float:
-        return self.machine.wake if self.stalled is None and not self.dead else math.inf
+    def _wake_time(self) -> float:
+        return self.machine.wake if self.deferred_calls is None and not self.dead else math.inf
 
     def tell(self, event: ev.Event) -> None:
-        """Tell the machine and do what it says."""
+        """Pass `event` to the machine and perform the actions that it returns."""
         if self.dead:
             return
-        if self.stalled is not None:
-            self.stalled.append(lambda: self.tell(event))
+        if self.deferred_calls is not None:
+            self.deferred_calls.append(lambda: self.tell(event))
             return
         clients, links = self.clients, self.links
         for action in self.machine.handle(self.env.now(), event):
@@ -87,57 +92,57 @@
                     if client in clients:
                         clients[client].resume()
                 case ev.AskRoster(watch):
-                    self.ask(watch)
+                    self.request_roster(watch)
                 case ev.Note(text, fields):
                     self.log(text, fields)
         self.alarm.look()
 
     def drain(self, end: float) -> None:
-        """Answer whatever comes from now on by `end`, seconds on the surroundings' clock."""
+        """Answer each request that arrives from now on by `end`, in seconds on the clock of `env`."""
         self.tell(ev.Drain(end))
 
     def leave(self) -> None:
-        """Take no more connections but those that were made; close each as soon as nothing is open on it."""
+        """Stop listening, and close each connection as soon as no request is pending on it."""
         self.listener.close()
         self.tell(ev.Leave())
 
-    def _heartbeat(self) -> None:
-        """Notice that this process stood still: what then comes in may have been sent long ago."""
+    def _check_for_stall(self) -> None:
+        """Notice that this process was stopped: data that arrives next may have been sent long ago."""
         if self.dead:
             return
         now = self.env.now()
-        if self.stalled is None:
-            if now - self.beat > STALL:
-                self.stood_from, self.stood_until = self.beat, now
-                self.log("stood still", {"seconds": round(now - self.beat, 3)})
-            self.beat = now
-        self.env.at(now + BEAT, self._heartbeat)
-
-    def arrived(self) -> float | None:
-        """When what comes in now may have been sent at the earliest, after a stall; None without one."""
+        if self.deferred_calls is None:
+            if now - self.last_check > STALL_THRESHOLD_SECONDS:
+                self.stall_began, self.stall_noticed = self.last_check, now
+                self.log("stood still", {"seconds": round(now - self.last_check, 3)})
+            self.last_check = now
+        self.env.at(now + STALL_CHECK_INTERVAL_SECONDS, self._check_for_stall)
+
+    def earliest_send_time(self) -> float | None:
+        """The earliest time at which data that arrives now may have been sent, after a stall; None without one."""
         now = self.env.now()
-        if now - self.beat > STALL:
-            return self.beat
-        return self.stood_from if now < self.stood_until + BEAT else None
+        if now - self.last_check > STALL_THRESHOLD_SECONDS:
+            return self.last_check
+        return self.stall_began if now < self.stall_noticed + STALL_CHECK_INTERVAL_SECONDS else None
 
     def stall(self, seconds: float) -> None:
-        """As by SIGSTOP, for routers that share a process with what watches them."""
-        if self.stalled is None:
-            self.stalled = []
-        self.stalled_until = max(self.stalled_until, self.env.now() + seconds)
-        self.env.at(self.stalled_until, self._go_on)
-
-    def _go_on(self) -> None:
-        if self.dead or self.env.now() < self.stalled_until:
+        """Simulate SIGSTOP and SIGCONT after `seconds`, for routers that share a process with a test or simulator."""
+        if self.deferred_calls is None:
+            self.deferred_calls = []
+        self.frozen_until = max(self.frozen_until, self.env.now() + seconds)
+        self.env.at(self.frozen_until, self._unfreeze)
+
+    def _unfreeze(self) -> None:
+        if self.dead or self.env.now() < self.frozen_until:
             return
-        missed, self.stalled = self.stalled or [], None
-        for call in missed:
+        calls, self.deferred_calls = self.deferred_calls or [], None
+        for call in calls:
             call()
         self.alarm.look()
 
     def kill(self) -> None:
-        """As by SIGKILL, for routers that share a process with what watches them: nothing of it acts any more."""
-        self.dead, self.stalled = True, None
+        """Simulate SIGKILL, for routers that share a process with a test or simulator: it does nothing from now on."""
+        self.dead, self.deferred_calls = True, None
         self.listener.close()
         for handle in [*self.clients.values(), *self.links.values()]:
             handle.close()
@@ -146,43 +151,45 @@
 
 
 class _ClientPeer(Peer):
-    __slots__ = ("host", "id", "late")
+    """A client's connection. Passes its events to the machine; after a stall, data only when closes are known."""
+
+    __slots__ = ("delayed_data", "host", "id")
 
     def __init__(self, host: RouterHost) -> None:
         self.host = host
         self.id = 0
-        self.late: list[bytes] | None = None  # what came in while the process stood still
+        self.delayed_data: list[bytes] | None = None  # data that arrived during a stall; None if none did
 
     def up(self, handle: Handle) -> None:
-        self.host.client_ids += 1
-        self.id = self.host.client_ids
+        self.host.last_client_id += 1
+        self.id = self.host.last_client_id
         self.host.clients[self.id] = handle
         self.host.tell(ev.ClientOpened(self.id))
 
     def data(self, data: bytes) -> None:
         host = self.host
-        if host.stalled is not None:
-            host.stalled.append(lambda: self.data(data))
+        if host.deferred_calls is not None:
+            host.deferred_calls.append(lambda: self.data(data))
             return
-        if self.late is not None:
-            self.late.append(data)
+        if self.delayed_data is not None:
+            self.delayed_data.append(data)
             return
-        since = host.arrived()
+        since = host.earliest_send_time()
         if since is None:
             host.tell(ev.ClientData(self.id, data))
             return
-        self.late = [data]
-        host.env.at(host.env.now() + SETTLE, lambda: self._begin(since))
+        self.delayed_data = [data]
+        host.env.at(host.env.now() + STALL_SETTLE_SECONDS, lambda: self._deliver_delayed_data(since))
 
-    def _begin(self, since: float) -> None:
-        late, self.late = self.late, None
-        if late:
-            self.host.tell(ev.ClientData(self.id, b"".join(late), since))
+    def _deliver_delayed_data(self, since: float) -> None:
+        delayed_data, self.delayed_data = self.delayed_data, None
+        if delayed_data:
+            self.host.tell(ev.ClientData(self.id, b"".join(delayed_data), since))
 
     def eof(self) -> None:
-        if self.host.stalled is not None:
-            self.host.stalled.append(self.eof)
-        elif self.late is not None:  # it left while nobody looked
+        if self.host.deferred_calls is not None:
+            self.host.deferred_calls.append(self.eof)
+        elif self.delayed_data is not None:  # the client left during the stall, so its request is dropped
             self.lost("closed")
         else:
             self.host.tell(ev.ClientEof(self.id))
@@ -197,16 +204,18 @@
         self.host.tell(ev.ClientFree(self.id))
 
     def lost(self, reason: str) -> None:
-        if self.host.stalled is not None:
-            self.host.stalled.append(lambda: self.lost(reason))
+        if self.host.deferred_calls is not None:
+            self.host.deferred_calls.append(lambda: self.lost(reason))
             return
-        self.late = None
+        self.delayed_data = None
         if (handle := self.host.clients.pop(self.id, None)) is not None:
             handle.close()
             self.host.tell(ev.ClientLost(self.id))
 
 
 class _LinkPeer(Peer):
+    """A link to a member. Passes its events to the machine."""
+
     __slots__ = ("host", "id")
 
     def __init__(self, host: RouterHost, link: int) -> None:
--- a/banklift/net/service.py
+++ b/banklift/net/service.py
@@ -1,19 +1,22 @@
-"""The router on the platform: what `run` starts. Environment and configuration, signals, the budget of descriptors.
+"""The router on the platform, as the deploy file's `run` starts it: environment, configuration, signals, descriptors.
 
     python -m banklift.net.service
 
-Theory of operation. The configuration is read once, whole, and a fault in it ends the program with one line and exit
-code 2. Time is Unix time that never goes back: the platform tells positions and starts in Unix milliseconds, and all
-its machines read one clock.
+Theory of operation. The whole configuration is read and checked at the start. A fault in it ends the program with one
+line on standard error and exit code 2. The clock is Unix time that never goes back: the platform gives positions and
+start times in Unix milliseconds, and all its machines read one clock.
 
-Signals are noted with the time at which they come, from the first line of `main` on, and end the wait for sockets: the
-event loop would tell of one only after two or three of its turns, and the platform counts from the signal.
+Signals are recorded with the time of their arrival from the first line of `main` on, and they end the wait for sockets.
+The event loop alone would report a signal two or three iterations late, and the platform counts from its arrival.
 
-SIGTERM: the platform kills no earlier than `KILL` seconds and the longest deadline (`LONGEST` at the most) later.
-Whatever comes is answered by `SPARE` before that. Connections that rest are handed back one after another meanwhile
-(pg/front.py), as clients keep what they have for as long as it is open; `WIND_DOWN` before the end the listener and the
-rest close, and the program ends once all was sent. SIGHUP: the configuration is read again; a good one moves discovery
-to its new address, a bad one changes nothing and is told in the log.
+SIGTERM starts a graceful shutdown. The platform kills the process no earlier than `KILL` seconds plus the longest
+deadline (of which at most `LONGEST` count) after the signal. `ANSWERED_BEFORE_KILL_SECONDS` before the kill all
+requests are answered, also those that arrived after the signal. Meanwhile idle connections are closed one after another
+(pg/front.py), as clients keep a connection for as long as it is open. `CLOSE_BEFORE_KILL_SECONDS` before the kill the
+listener and the remaining connections close, and the program ends once all answers are sent.
+
+SIGHUP reads the configuration again. A valid one moves discovery to its new address; an invalid one changes nothing and
+is reported in the log.
 """
 
 from __future__ import annotations
@@ -47,55 +50,57 @@
 from banklift.proxy.machine import Machine
 from banklift.proxy.plan import Limits
 
-VARIABLES = ("ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_CONFIG")
-KILL, LONGEST = 0.7, 3.0  # seconds from SIGTERM to SIGKILL: this, and the longest deadline up to that
-WIND_DOWN = 0.5  # seconds before that from which nothing new is read
-# seconds before it by which all is answered: a part of a core has as much to write then as a whole one
-SPARE = 0.3
-LOOK = 0.02  # seconds between looks at whether all was sent
-IDLE_TIMEOUT = 2.0  # seconds after which an idle client's connection is closed
-MARGIN = 0.005  # seconds of a request's time that are kept for the answer's way back
-IDLE_PART = 0.6  # of the time after which a node closes an idle link: it is closed here before that
-PROBE_TIMEOUT = 0.25  # seconds in which a probe is answered; the settings don't tell
-# seconds until a watch that failed is opened anew, where lists are pushed; doubled each time ...
-FIRST_RETRY = 0.1
-# ... up to this part of the time in which the settings want a drain heeded: news count from their return
-HEEDED = 0.25
-LONGEST_RETRY = (
-    4.0  # ... and up to so many seconds: 6 s after discovery is back in reach its news count as told
-)
-# descriptors for the listener, discovery, logs, the event loop, connections that end
-OTHERS = 16 + MOST_LINGERING
-CLIENTS_PART = 0.5  # of the other descriptors; nodes have the rest
+ENVIRONMENT_VARIABLES = ("ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_CONFIG")
+# The platform sends SIGKILL no earlier than this after SIGTERM: `KILL` seconds, plus the longest deadline of all
+# classes, of which at most `LONGEST` seconds count.
+KILL, LONGEST = 0.7, 3.0
+CLOSE_BEFORE_KILL_SECONDS = 0.5  # from this time before SIGKILL on nothing new is accepted or read
+# All requests are answered this long before SIGKILL. A fraction of a core needs the time to write the answers, as it
+# has as many of them as a whole core.
+ANSWERED_BEFORE_KILL_SECONDS = 0.3
+SHUTDOWN_POLL_SECONDS = 0.02  # interval of the checks whether all answers are sent
+IDLE_CLIENT_TIMEOUT_SECONDS = 2.0  # an idle client's connection is closed after this time
+ANSWER_MARGIN_SECONDS = 0.005  # part of a request's deadline that is reserved for the answer's way back
+IDLE_LINK_FRACTION = 0.6  # of the time after which a member closes an idle link: the router closes it earlier
+PROBE_TIMEOUT_SECONDS = 0.25  # time for a probe's answer; the platform's settings have no value for it
+# Where lists are pushed, a failed watch is opened again after a delay that starts with the minimum and doubles up to
+# the maximum. The maximum is this fraction of the drain grace, as a drain must be heeded within the grace from the
+# catalogue's return on, and never above 4 seconds: a change counts as known 6 seconds after discovery is back in reach.
+MIN_WATCH_RETRY_SECONDS = 0.1
+WATCH_RETRY_DRAIN_FRACTION = 0.25
+MAX_WATCH_RETRY_SECONDS = 4.0
+# descriptors for the listener, discovery, logs, the event loop, and connections that are closing
+RESERVED_DESCRIPTORS = 16 + MOST_LINGERING
+CLIENT_DESCRIPTOR_FRACTION = 0.5  # of the descriptors that are not reserved; links to members have the rest
 
 
 class BadConfig(Exception):
-    """The program can't run with this; the text names place and fault."""
+    """The configuration is invalid. The text names the setting and what is wrong with it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """All that the platform tells a router."""
+    """A router's configuration on the platform: environment variables and configuration file, checked."""
 
     name: str
-    listen: str
-    discovery: str
-    seed: int
-    sockets: int
-    known: catalogue.Catalogue | None
+    listen: str  # host:port
+    discovery: str  # the catalogue's host:port
+    seed: int  # of random numbers
+    sockets: int  # descriptors that the process may hold
+    known: catalogue.Catalogue | None  # a list of members to start with
     settings: Settings
-    idle: float  # seconds after which nodes close an idle link
-    connect: float  # seconds in which a link comes up
-    probe: float  # seconds in which a probe is answered
+    idle: float  # seconds after which members close an idle link
+    connect: float  # seconds within which a link has to be connected
+    probe: float  # seconds within which a probe has to be answered
 
 
-def _object(value: object, name: str) -> dict[str, Any]:
+def _require_object(value: object, name: str) -> dict[str, Any]:
     if not isinstance(value, dict):
         raise BadConfig(f"{name}: an object is needed")
     return value
 
 
-def _address(value: object, name: str) -> str:
+def _require_address(value: object, name: str) -> str:
     text = value if isinstance(value, str) else ""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < 65536:
@@ -103,18 +108,21 @@
     return text
 
 
-def _seconds(table: dict[str, Any], name: str, default: float) -> float:
+def _optional_seconds(table: dict[str, Any], name: str, default: float) -> float:
     value = table.get(name)
-    if value is None or (value == 0 and not isinstance(value, bool)):  # not told, or no such limit
+    if value is None or (value == 0 and not isinstance(value, bool)):  # absent, or 0 for no limit
         return default
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < 86_400:
         raise BadConfig(f"settings.allowed.{name}: seconds above 0 are needed, not {value!r}")
     return float(value)
 
 
-def read(environment: dict[str, str]) -> Start:
-    """Errors: `BadConfig`."""
-    for variable in VARIABLES:
+def read_configuration(environment: dict[str, str]) -> Start:
+    """Read the environment variables and the file that `ROUTER_CONFIG` names.
+
+    Errors: `BadConfig` if a variable is not set, the file can't be read, or a value is invalid.
+    """
+    for variable in ENVIRONMENT_VARIABLES:
         if not environment.get(variable):
             raise BadConfig(f"the variable {variable} is not set")
     path = environment["ROUTER_CONFIG"]
@@ -124,7 +132,7 @@
     except OSError as error:
         raise BadConfig(f"{path}: {error.strerror}") from None
     try:
-        config = _object(msgspec.json.decode(data), path)
+        config = _require_object(msgspec.json.decode(data), path)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise BadConfig(f"{path}: not JSON: {error}") from None
     try:
@@ -134,13 +142,16 @@
 
 
 def parse(config: dict[str, Any], environment: dict[str, str]) -> Start:
-    """Errors: `BadConfig`."""
+    """Check the decoded configuration file. Its name and addresses take precedence over the environment's.
+
+    Errors: `BadConfig` if a value is invalid.
+    """
 
-    def told(name: str, variable: str) -> object:
+    def setting_or_variable(name: str, variable: str) -> object:
         return environment[variable] if config.get(name) is None else config[name]
 
-    settings = _object(config.get("settings"), "settings")
-    limits = _object(config.get("limits") or {}, "limits")
+    settings = _require_object(config.get("settings"), "settings")
+    limits = _require_object(config.get("limits") or {}, "limits")
     sockets = 1024 if limits.get("sockets") is None else limits["sockets"]
     if isinstance(sockets, bool) or not isinstance(sockets, int) or sockets < 64:
         raise BadConfig(f"limits.sockets: a number from 64 is needed, not {sockets!r}")
@@ -149,7 +160,7 @@
     except (WireError, KeyError, TypeError, ValueError) as error:
         text = f"lacks {error}" if isinstance(error, KeyError) else str(error)
         raise BadConfig(f"settings: {text}") from None
-    allowed = _object(settings.get("allowed") or {}, "settings.allowed")
+    allowed = _require_object(settings.get("allowed") or {}, "settings.allowed")
     try:
         seed = int(str(config.get("seed") or "0"), 16)
         known = catalogue.convert(config["known"]) if config.get("known") else None
@@ -157,21 +168,22 @@
         raise BadConfig(f"seed or known: {error}") from None
     return Start(
         name=str(config.get("name") or environment["ROUTER_NAME"]),
-        listen=_address(told("listen", "ROUTER_LISTEN"), "listen"),
-        discovery=_address(told("discovery", "ROUTER_DISCOVERY"), "discovery"),
+        listen=_require_address(setting_or_variable("listen", "ROUTER_LISTEN"), "listen"),
+        discovery=_require_address(setting_or_variable("discovery", "ROUTER_DISCOVERY"), "discovery"),
         seed=seed,
         sockets=sockets,
         known=known,
         settings=parsed,
-        idle=_seconds(allowed, "conn_idle_s", 30.0),
-        connect=_seconds(allowed, "connect_timeout_s", 0.25),
-        probe=PROBE_TIMEOUT,
+        idle=_optional_seconds(allowed, "conn_idle_s", 30.0),
+        connect=_optional_seconds(allowed, "connect_timeout_s", 0.25),
+        probe=PROBE_TIMEOUT_SECONDS,
     )
 
 
-def build(start: Start) -> Machine:
-    clients = max(8, int((start.sockets - OTHERS) * CLIENTS_PART))
-    links = max(8, start.sockets - OTHERS - clients)
+def build_machine(start: Start) -> Machine:
+    """The router's machine for PostgreSQL, with the descriptors divided between clients and links to members."""
+    clients = max(8, int((start.sockets - RESERVED_DESCRIPTORS) * CLIENT_DESCRIPTOR_FRACTION))
+    links = max(8, start.sockets - RESERVED_DESCRIPTORS - clients)
     limits = Limits(
         clients=clients,
         pipeline=16,
@@ -181,8 +193,8 @@
         queue=4096,
         connect=start.connect,
         probe=start.probe,
-        margin=MARGIN,
-        idle=IDLE_PART * start.idle,
+        margin=ANSWER_MARGIN_SECONDS,
+        idle=IDLE_LINK_FRACTION * start.idle,
     )
     return Machine(
         start.settings,
@@ -190,181 +202,202 @@
         0,
         start.seed,
         PgWire(),
-        lambda core: PgFront(core, start.settings, limits, IDLE_TIMEOUT),
+        lambda core: PgFront(core, start.settings, limits, IDLE_CLIENT_TIMEOUT_SECONDS),
     )
 
 
-class Discovery:
-    """Carries out what `client.Client` says, and tells the machine."""
+class DiscoveryHost:
+    """Runs a catalogue client (`client.Client`) on connections of `env`. `tell` gets each new list of members, `log`
+    the failures."""
 
     def __init__(self, env: Env, core: client.Client, tell: Callable[[ev.Roster], None], log: Log) -> None:
         self.env, self.core, self.tell, self.log = env, core, tell, log
-        self.wire: _Line | None = None
-        self.carrying = False
+        self.connection: _CatalogueConnection | None = None
+        self.performing = False  # guards against recursion, as connections may call back at once
 
-    def ask(self, watch: bool) -> None:
+    def request_roster(self, watch: bool) -> None:
+        """Watch the list of members from now on, or fetch the whole list once if `watch` is false."""
         self.core.ask(self.env.now(), watch)
-        self.carry()
+        self.perform_actions()
 
     def move(self, address: str) -> None:
+        """Use the catalogue at `address` (host:port) from now on."""
         self.core.move(self.env.now(), address)
-        self.carry()
+        self.perform_actions()
 
-    def carry(self) -> None:
-        if self.carrying:
+    def perform_actions(self) -> None:
+        """Perform the client's actions in order, and set a timer for its next deadline."""
+        if self.performing:
             return
-        self.carrying = True
+        self.performing = True
         while self.core.actions:
             match self.core.actions.pop(0):
                 case client.Connect(address):
-                    self.wire = _Line(self)
-                    self.wire.handle = self.env.connect(address, self.wire)
+                    self.connection = _CatalogueConnection(self)
+                    self.connection.handle = self.env.connect(address, self.connection)
                 case client.Send(data):
-                    if self.wire is not None and self.wire.handle is not None:
-                        self.wire.handle.send(data)
+                    if self.connection is not None and self.connection.handle is not None:
+                        self.connection.handle.send(data)
                 case client.Close():
-                    if self.wire is not None and self.wire.handle is not None:
-                        self.wire.handle.close()
-                    self.wire = None
+                    if self.connection is not None and self.connection.handle is not None:
+                        self.connection.handle.close()
+                    self.connection = None
                 case client.Tell(roster, reason):
                     if reason:
                         self.log("discovery failed", {"reason": reason})
                     if roster is not None:
                         self.tell(roster)
-        self.carrying = False
+        self.performing = False
         if self.core.due < float("inf"):
             due = self.core.due
-            self.env.at(due, lambda: self._due(due))
+            self.env.at(due, lambda: self._on_timer(due))
 
-    def _due(self, due: float) -> None:
+    def _on_timer(self, due: float) -> None:
         if self.core.due == due:
             self.core.tick(self.env.now())
-            self.carry()
+            self.perform_actions()
 
 
-class _Line(Peer):
-    """One connection to the catalogue; once it is another's turn, what happens here is not told."""
+class _CatalogueConnection(Peer):
+    """One connection to the catalogue. Its events are ignored once `owner` uses another connection."""
 
-    def __init__(self, owner: Discovery) -> None:
+    def __init__(self, owner: DiscoveryHost) -> None:
         self.owner = owner
         self.handle: Handle | None = None
 
     def up(self, handle: Handle) -> None:
-        if self.owner.wire is self:
+        if self.owner.connection is self:
             self.owner.core.connected(self.owner.env.now())
-            self.owner.carry()
+            self.owner.perform_actions()
 
     def data(self, data: bytes) -> None:
-        if self.owner.wire is self:
+        if self.owner.connection is self:
             self.owner.core.data(self.owner.env.now(), data)
-            self.owner.carry()
+            self.owner.perform_actions()
 
     def eof(self) -> None:
         self.data(b"")
 
     def lost(self, reason: str) -> None:
-        if self.owner.wire is self:
+        if self.owner.connection is self:
             self.owner.core.lost(self.owner.env.now(), reason)
-            self.owner.carry()
+            self.owner.perform_actions()
 
 
 class Signals:
-    """Notes signals as they come: number and time. `told` is called once somebody listens, also for earlier ones."""
+    """Records number and arrival time of each signal (seconds on `clock`), from its creation on. Signals that arrive
+    before `listen` is called are delivered then."""
 
     NUMBERS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
-        self.noted: deque[tuple[int, float]] = deque()
-        self.told: Callable[[int, float], None] | None = None
-        self.wake, wakes = socket.socketpair()  # a byte for each signal, written by the interpreter
-        self.wakes = wakes
-        for end in (self.wake, wakes):
+        self.received: deque[tuple[int, float]] = deque()
+        self.on_signal: Callable[[int, float], None] | None = None
+        self.wake, wakeup_writer = socket.socketpair()  # the interpreter writes a byte for each signal
+        self.wakeup_writer = wakeup_writer
+        for end in (self.wake, wakeup_writer):
             end.setblocking(False)
-        signal.set_wakeup_fd(wakes.fileno(), warn_on_full_buffer=False)
+        signal.set_wakeup_fd(wakeup_writer.fileno(), warn_on_full_buffer=False)
         for number in self.NUMBERS:
-            signal.signal(number, lambda number, frame: self.noted.append((number, self.clock())))
+            signal.signal(number, lambda number, frame: self.received.append((number, self.clock())))
 
-    def listen(self, env: SocketEnv, told: Callable[[int, float], None]) -> None:
-        self.told = told
+    def listen(self, env: SocketEnv, on_signal: Callable[[int, float], None]) -> None:
+        """Call `on_signal` with the number and arrival time of each signal; `env` waits for them."""
+        self.on_signal = on_signal
         env.watch(self.wake.fileno(), self)
         self.ready(0)
 
     def ready(self, events: int) -> None:
+        """Deliver the recorded signals."""
         with contextlib.suppress(BlockingIOError):
             self.wake.recv(4096)
-        while self.noted and self.told is not None:
-            self.told(*self.noted.popleft())
+        while self.received and self.on_signal is not None:
+            self.on_signal(*self.received.popleft())
 
 
 class Service:
-    """One router from its start to its end, in surroundings of its own. Errors: `OSError` if the address can't be
-    had."""
+    """One router from its start to its graceful shutdown, with an `Env` of its own, which it stops at the end.
+
+    `environment`: variables to read the configuration with again. Errors: `OSError` if the address can't be bound.
+    """
 
     def __init__(self, env: SocketEnv, start: Start, environment: dict[str, str], log: Log) -> None:
         self.env, self.start, self.environment, self.log = env, start, environment, log
-        self.leaving = False
-        self.machine = build(start)
-        # then the module waits for lists, and the watch is what brings them
+        self.shutting_down = False
+        self.machine = build_machine(start)
+        # where lists are pushed, the balancer asks for none, so the service keeps a watch open
         pushed = not start.settings.must_ask
-        most = max(FIRST_RETRY, min(LONGEST_RETRY, HEEDED * start.settings.drain_grace))
-        backoff = client.Backoff(FIRST_RETRY, most, Random(start.seed)) if pushed else None
+        max_retry = max(
+            MIN_WATCH_RETRY_SECONDS,
+            min(MAX_WATCH_RETRY_SECONDS, WATCH_RETRY_DRAIN_FRACTION * start.settings.drain_grace),
+        )
+        backoff = client.Backoff(MIN_WATCH_RETRY_SECONDS, max_retry, Random(start.seed)) if pushed else None
         self.core = client.Client(
             start.discovery, version=start.known.rev if start.known is not None else None, backoff=backoff
         )
-        self.discovery = Discovery(env, self.core, lambda roster: self.host.tell(roster), self.log)
-        self.host = RouterHost(env, self.machine, start.listen, self.log, ask=self.discovery.ask)
+        self.discovery = DiscoveryHost(env, self.core, lambda roster: self.host.tell(roster), self.log)
+        self.host = RouterHost(
+            env, self.machine, start.listen, self.log, request_roster=self.discovery.request_roster
+        )
         self.host.tell(
             catalogue.roster(start.known, ListKind.CACHED)
             if start.known is not None
             else ev.Roster((), ListKind.CACHED)
         )
         if pushed:
-            self.discovery.ask(True)
+            self.discovery.request_roster(True)
         self.log("listening", {"address": self.host.address})
 
     def signalled(self, number: int, at: float) -> None:
-        """`at`: when it came."""
+        """Handle a signal: SIGHUP reads the configuration again, others start a graceful shutdown. `at`: its arrival in
+        seconds on the clock of `env`."""
         if number == signal.SIGHUP:
-            self._read_again()
-        elif not self.leaving:
-            self.leaving = True
-            self._leave(signal.Signals(number).name, at)
+            self._reload_configuration()
+        elif not self.shutting_down:
+            self.shutting_down = True
+            self._begin_shutdown(signal.Signals(number).name, at)
 
-    def _read_again(self) -> None:
+    def _reload_configuration(self) -> None:
         try:
-            again = read(self.environment)
+            reloaded = read_configuration(self.environment)
         except BadConfig as error:
             self.log("configuration refused, the old one stays", {"reason": str(error)})
         else:
-            self.log("configuration read again", {"discovery": again.discovery})
-            self.discovery.move(again.discovery)
-
-    def _leave(self, name: str, at: float) -> None:
-        kill = at + KILL + min(LONGEST, max(kind.deadline for kind in self.start.settings.classes))
+            self.log("configuration read again", {"discovery": reloaded.discovery})
+            self.discovery.move(reloaded.discovery)
+
+    def _begin_shutdown(self, name: str, at: float) -> None:
+        kill = (
+            at
+            + KILL
+            + min(LONGEST, max(request_class.deadline for request_class in self.start.settings.classes))
+        )
         self.log(
             "leaving", {"signal": name, "after": round(self.env.now() - at, 3), "until": round(kill - at, 3)}
         )
-        self.host.drain(kill - SPARE)
-        self.env.at(kill - WIND_DOWN, lambda: self._wind_down(kill))
+        self.host.drain(kill - ANSWERED_BEFORE_KILL_SECONDS)
+        self.env.at(kill - CLOSE_BEFORE_KILL_SECONDS, lambda: self._close_listener(kill))
 
-    def _wind_down(self, kill: float) -> None:
+    def _close_listener(self, kill: float) -> None:
         self.host.leave()
-        self._look(kill)
+        self._stop_when_drained(kill)
 
-    def _look(self, kill: float) -> None:
-        """End once every client has what it is owed, all of it sent and its connection ended in order."""
+    def _stop_when_drained(self, kill: float) -> None:
+        """Stop `env` once every client has its answers and its connection is closed, and before SIGKILL in any case."""
         now = self.env.now()
-        if (self.host.clients or self.env.lingering) and now < kill - LOOK:
-            self.env.at(now + LOOK, lambda: self._look(kill))
+        if (self.host.clients or self.env.lingering) and now < kill - SHUTDOWN_POLL_SECONDS:
+            self.env.at(now + SHUTDOWN_POLL_SECONDS, lambda: self._stop_when_drained(kill))
             return
         self.log("left", {"unanswered": len(self.machine.open), "unsent": len(self.env.lingering)})
         self.env.stop()
 
 
 async def serve(start: Start, environment: dict[str, str], signals: Signals) -> None:
-    """Run until SIGTERM or SIGINT, and until what was taken is answered. Errors: `OSError` if the address can't be
-    had."""
+    """Run until SIGTERM or SIGINT, and then until all accepted requests are answered.
+
+    Errors: `OSError` if the address can't be bound.
+    """
 
     def log(event: str, fields: dict[str, object]) -> None:
         logging.info(msgspec.json.encode({"router": start.name, "event": event, **fields}).decode())
@@ -372,30 +405,31 @@
     async with anyio.create_task_group() as tasks:
         env = SocketEnv(tasks, signals.clock, alone=True)
         service = Service(env, start, environment, log)
-        gc.collect()  # what is there by now stays for good; what requests leave behind has no cycles
+        gc.collect()  # objects of the start live as long as the process, and requests leave no cycles behind
         gc.freeze()
-        gc.set_threshold(2_000, 5, 5)  # what is not frozen is little, so looking at all of it is cheap
+        gc.set_threshold(2_000, 5, 5)  # few objects are not frozen, so even a full collection is cheap
         signals.listen(env, service.signalled)
 
 
 def main() -> int:
-    # not structlog, which takes half of all the time until the router listens
+    """Run the service; returns the exit code, 2 for an invalid configuration or an address that can't be bound."""
+    # importing structlog would take half of all the time until the router listens
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
-    zero = time.time() - time.monotonic()
-    signals = Signals(lambda: time.monotonic() + zero)
+    clock_offset = time.time() - time.monotonic()
+    signals = Signals(lambda: time.monotonic() + clock_offset)
     environment = dict(os.environ)
     try:
-        start = read(environment)
+        start = read_configuration(environment)
     except BadConfig as error:
         print(f"banklift: {error}", file=sys.stderr)
         return 2
     try:
         anyio.run(serve, start, environment, signals)
     except BaseExceptionGroup as group:
-        refused = group.subgroup(OSError)
-        if refused is None:
+        listen_errors = group.subgroup(OSError)
+        if listen_errors is None:
             raise
-        print(f"banklift: listen: {start.listen}: {refused.exceptions[0]}", file=sys.stderr)
+        print(f"banklift: listen: {start.listen}: {listen_errors.exceptions[0]}", file=sys.stderr)
         return 2
     return 0
 
--- a/banklift/net/sockets.py
+++ b/banklift/net/sockets.py
@@ -45,9 +45,8 @@
 
 from banklift.net.env import Listener, Peer
 
-IO_CHUNK_BYTES = (
-    64 * 1024
-)  # bytes read at once, or written at once of those that the kernel did not take at first
+# most bytes of one read, and of one write of bytes that the kernel did not take at first
+IO_CHUNK_BYTES = 64 * 1024
 HIGH_WATER_BYTES = 1024 * 1024  # unsent bytes of a connection above which the other end is a slow reader
 LISTEN_BACKLOG = 1024  # connections that the kernel holds until they are accepted
 MAX_SOCKETS_PER_BATCH = 16  # sockets whose events are handled before the queued answers are written
