--- a/banklift/net/env.py
+++ b/banklift/net/env.py
@@ -1,7 +1,7 @@
-"""What everything that runs needs of its surroundings: a clock, timers and connections.
+"""Interfaces to a clock, timers and connections.
 
-Routers, stand-ins, clients and days are written against this and run unchanged on sockets (sockets.py) and in virtual
-time (emulator/world.py). Calls never wait; what happens is told to a `Peer`.
+Routers, emulated members, clients and simulated days are written against them, and run unchanged on sockets
+(sockets.py) and in virtual time (emulator/world.py). No call blocks; events are passed to a `Peer` or a callback.
 """
 
 from __future__ import annotations
@@ -11,21 +11,23 @@
 
 
 class Handle(Protocol):
-    """One end of a connection. `send` and `close` do nothing once it is gone."""
+    """One end of a connection. `send` and `close` do nothing once the connection is closed or lost."""
 
-    def send(self, data: bytes) -> None: ...
+    def send(self, data: bytes) -> None:
+        """Send `data`, or queue it until it can be sent."""
 
     def finish(self, away: bool = False) -> None:
-        """Close once everything was sent. The peer at this end is told nothing more. `away`: what the other end still
-        sends asks for nothing, and may be read and dropped."""
+        """Close once everything was sent. This end's peer gets no more events. `away`: the other end sends no more
+        requests, so its input may be read and discarded."""
 
     def close(self) -> None:
-        """Close at once. The peer at this end is told nothing more."""
+        """Close at once. This end's peer gets no more events."""
 
     def pause(self) -> None:
-        """Read no more until `resume`. Of the other end's close the peer is told all the same (`half_closed`)."""
+        """Stop reading until `resume`. The other end's close is still reported (`Peer.half_closed`)."""
 
-    def resume(self) -> None: ...
+    def resume(self) -> None:
+        """Read again after `pause`."""
 
     @property
     def source(self) -> str:
@@ -33,71 +35,85 @@
 
 
 class Peer(Protocol):
-    """Is told what happens on a connection: `up` first, `lost` at most once and last."""
+    """Receives the events of one connection: `up` first, `lost` at most once and last."""
 
-    def up(self, handle: Handle) -> None: ...
+    def up(self, handle: Handle) -> None:
+        """The connection is established; `handle` is this end of it."""
 
-    def data(self, data: bytes) -> None: ...
+    def data(self, data: bytes) -> None:
+        """`data` has arrived."""
 
     def eof(self) -> None:
-        """The other end sends no more; it may still read."""
+        """The other end sends no more, and all its data was read; it may still read."""
 
     def half_closed(self) -> None:
-        """The other end sends no more; what it sent before may be unread. `eof` still comes where it is read on."""
+        """The other end sends no more, but data that it sent before may be unread. `eof` follows if reading goes on."""
         return
 
     def lost(self, reason: str) -> None:
-        """It could not be opened, or broke."""
+        """The connection could not be established, or broke."""
 
     def full(self) -> None:
-        """The other end does not read, and what is unsent piles up here."""
+        """The other end is a slow reader, and much unsent data is held at this end."""
         return
 
     def free(self) -> None:
-        """It has read enough for more to be worth making."""
+        """The slow reader has read enough for more data to be sent."""
         return
 
 
 class Listener(Protocol):
+    """Accepts connections at an address."""
+
     @property
     def address(self) -> str:
-        """host:port"""
+        """Where it listens, as host:port."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Stop listening. Open connections stay."""
 
 
 class Env(Protocol):
+    """A clock, timers and connections. Addresses are host:port."""
+
     def now(self) -> float:
         """Seconds on a clock that never goes back."""
 
-    def at(self, when: float, callback: Callable[[], None]) -> None: ...
+    def at(self, when: float, callback: Callable[[], None]) -> None:
+        """Call `callback` at `when`, in seconds on this clock, or soon if that has passed."""
 
     def listen(self, address: str, accept: Callable[[], Peer]) -> Listener:
-        """Errors: `OSError` if the address can't be had."""
+        """Listen at `address`; `accept` returns the peer of each new connection. Errors: `OSError` if the address can't
+        be bound."""
 
     def connect(self, address: str, peer: Peer, source: str | None = None) -> Handle:
-        """Start to connect; `source`: the local address."""
+        """Start to connect to `address`, from the local address `source` if given. A failure is passed to
+        `peer.lost`."""
 
 
 class Alarm:
-    """Calls `ring` when `due()` has come; `look` after anything that may have changed it."""
+    """A timer for a deadline that changes: calls `callback` once the time `due()` has come. `look` has to be called
+    after anything that may have made `due()` earlier."""
 
-    __slots__ = ("due", "env", "ring", "set_for")
+    __slots__ = ("callback", "due", "env", "scheduled_for")
 
-    def __init__(self, env: Env, due: Callable[[], float], ring: Callable[[], None]) -> None:
-        self.env, self.due, self.ring = env, due, ring
-        self.set_for = float("inf")
+    def __init__(self, env: Env, due: Callable[[], float], callback: Callable[[], None]) -> None:
+        self.env, self.due, self.callback = env, due, callback
+        self.scheduled_for = float("inf")
 
     def look(self) -> None:
+        """Schedule the timer again if `due()` is earlier than before."""
         when = self.due()
-        if when < self.set_for:
-            self.set_for = when
-            self.env.at(when, lambda: self._rung(when))
-
-    def _rung(self, when: float) -> None:
-        if self.set_for != when:  # an earlier one was set since, or this one is over
+        if when < self.scheduled_for:
+            self.scheduled_for = when
+            self.env.at(when, lambda: self._expired(when))
+
+    def _expired(self, when: float) -> None:
+        if (
+            self.scheduled_for != when
+        ):  # an earlier timer was scheduled since, or this one has expired already
             return
-        self.set_for = float("inf")
+        self.scheduled_for = float("inf")
         if self.due() <= self.env.now():
-            self.ring()
+            self.callback()
         self.look()
