--- a/banklift/net/daemon.py
+++ b/banklift/net/daemon.py
@@ -1,4 +1,4 @@
-"""The router as a daemon: configuration, listener, roster, signals; and, where its file has one, its fleet."""
+"""The router as a daemon: configuration, listener, roster file, signals, and its fleet if the file has one."""
 
 from __future__ import annotations
 
@@ -17,19 +17,20 @@
 from banklift.net.sockets import SocketEnv
 from banklift.proxy.plan import Config
 
-ROSTER_POLL = 0.1  # seconds between looks at the roster file
+ROSTER_POLL_SECONDS = 0.1  # interval of the checks whether the roster file has changed
 
 
 async def serve(config: Config, folder: Path) -> None:
-    """Run until SIGTERM or SIGINT. `folder`: where the configuration's relative paths start.
+    """Run until SIGTERM or SIGINT. `folder` is the base of the configuration's relative paths.
 
-    Once it listens, one line of JSON with its name and address goes to standard output. Errors: `OSError` if the
-    address can't be had, `ConfigError` if the roster file is bad at the start (later, a bad one is left aside),
-    `MembershipRefused` if its fleet turns it away.
+    Once the router listens, it prints one line of JSON with its name and address on standard output.
+
+    Errors: `OSError` if the address can't be bound, `ConfigError` if the roster file is invalid at the start (later, an
+    invalid one is logged and ignored), `MembershipRefused` if the fleet refuses this router as a member.
     """
     log = structlog.get_logger().bind(router=config.name)
 
-    def note(event: str, fields: dict[str, object]) -> None:
+    def log_event(event: str, fields: dict[str, object]) -> None:
         log.info(event, **fields)
 
     for text in warnings(config):
@@ -40,13 +41,13 @@
     with stop_signals() as signals:
         async with running() as run:
             env = SocketEnv(run.tasks, clock)
-            router = RouterHost(env, machine, config.listen, note, config.source)
+            router = RouterHost(env, machine, config.listen, log_event, config.source)
             router.tell(build.roster(config, groups, clock() - time.time()))
             fleet_host = None
             if config.fleet is not None:
-                fleet_host = fleet_daemon.join(config, config.fleet, folder, env, router, run, note)
+                fleet_host = fleet_daemon.join(config, config.fleet, folder, env, router, run, log_event)
             if path is not None:
-                run.tasks.start_soon(_watch, router, config, path, log)
+                run.tasks.start_soon(_watch_roster, router, config, path, log)
             tune_collector()
             log.info("listening", address=router.address)
             announce("router", config.name, router.address)
@@ -55,21 +56,23 @@
                 await fleet_daemon.leave(fleet_host, env)
 
 
-async def _watch(host: RouterHost, config: Config, path: Path, log: structlog.stdlib.BoundLogger) -> None:
-    """Tell the machine of each new content of the roster file, whole or not at all."""
-    last: tuple[int, int, int] | None = None
+async def _watch_roster(
+    host: RouterHost, config: Config, path: Path, log: structlog.stdlib.BoundLogger
+) -> None:
+    """Pass each valid new content of the roster file to the machine. Invalid contents are logged and ignored whole."""
+    last_version: tuple[int, int, int] | None = None
     while True:
         try:
             stat = path.stat()
-            mark = (stat.st_mtime_ns, stat.st_ino, stat.st_size)
+            version = (stat.st_mtime_ns, stat.st_ino, stat.st_size)
         except OSError:
-            mark = None
-        if mark is not None and mark != last:
-            last = mark
+            version = None
+        if version is not None and version != last_version:
+            last_version = version
             try:
                 groups = load_roster(path, config)
             except ConfigError as error:
                 log.warning("roster refused, the old one stays", reason=str(error))
             else:
                 host.tell(build.roster(config, groups, clock() - time.time()))
-        await anyio.sleep(ROSTER_POLL)
+        await anyio.sleep(ROSTER_POLL_SECONDS)
--- a/banklift/net/operator.py
+++ b/banklift/net/operator.py
@@ -1,4 +1,4 @@
-"""An operator's tool as a client of a fleet: it asks voters one after another, or aggregators all at once."""
+"""A fleet's client for operators' tools: sends a request to one voter after another, or to all aggregators at once."""
 
 from __future__ import annotations
 
@@ -26,9 +26,11 @@
     encode,
 )
 
-CONNECT_TIME = 1.0  # seconds in which a member takes a connection and greets
-SILENCE = 3.0  # seconds without a message after which another voter is asked
-ROUND_PAUSE = 0.2  # seconds before all voters are tried again
+CONNECT_TIMEOUT_SECONDS = 1.0  # for a member to accept a connection, and again for its Hello
+MESSAGE_TIMEOUT_SECONDS = (
+    3.0  # a voter that sends no message for this long is given up and the next one is tried
+)
+RETRY_PAUSE_SECONDS = 0.2  # between two tries of all voters
 CONNECTION_ERRORS = (
     OSError,
     TimeoutError,
@@ -43,22 +45,22 @@
 
 
 class Unreachable(Exception):
-    """No voter answered in time; the text says what each did."""
+    """No voter answered in time. The text has the error of each."""
 
 
 class DoesNotVote(Exception):
-    """This voter can't propose a change now; the text says why."""
+    """This voter can't propose a change now. The text says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class NoAnswer:
-    """A member that did not answer, and what it did instead."""
+    """The error of a member that did not answer."""
 
     reason: str
 
 
 class Connection:
-    """To one member. Errors of all calls: `CONNECTION_ERRORS`."""
+    """A connection to one member of a fleet. Errors of all its methods: `CONNECTION_ERRORS`."""
 
     def __init__(self, stream: SocketStream) -> None:
         self._stream, self._frames = stream, Frames()
@@ -66,12 +68,12 @@
 
     @classmethod
     async def open(cls, address: str, fleet: str) -> Connection:
-        """Connect and greet, within `CONNECT_TIME` each."""
+        """Connect to `address` (host:port) and exchange Hello messages, within `CONNECT_TIMEOUT_SECONDS` each."""
         host, _, port = address.rpartition(":")
-        with anyio.fail_after(CONNECT_TIME):
+        with anyio.fail_after(CONNECT_TIMEOUT_SECONDS):
             connection = cls(await anyio.connect_tcp(host, int(port)))
         try:
-            await connection._greet(fleet)
+            await connection._exchange_hello(fleet)
         except BaseException:
             await anyio.aclose_forcefully(connection._stream)
             raise
@@ -84,20 +86,21 @@
         await anyio.aclose_forcefully(self._stream)
 
     async def send(self, message: Message) -> None:
+        """Send one message."""
         await self._stream.send(encode(message))
 
     async def receive(self, seconds: float) -> Message:
-        """The next message, which has to come within that time."""
+        """The next message, which has to arrive within `seconds`."""
         with anyio.fail_after(seconds):
             while not self._received:
                 self._received = self._frames.feed(await self._stream.receive())
         return self._received.pop(0)
 
-    async def _greet(self, fleet: str) -> None:
+    async def _exchange_hello(self, fleet: str) -> None:
         await self.send(Hello(VERSION, fleet, "", 0, (), 0.0, 0.0, Role.OPERATOR))
-        answer = await self.receive(CONNECT_TIME)
+        answer = await self.receive(CONNECT_TIMEOUT_SECONDS)
         if not isinstance(answer, Hello):
-            raise OSError(answer.reason if isinstance(answer, Bye) else "it does not greet")
+            raise OSError(answer.reason if isinstance(answer, Bye) else "no Hello received")
 
 
 async def ask_voters(
@@ -107,33 +110,38 @@
     seconds: float,
     on_progress: OnProgress = lambda progress: None,
 ) -> Answer:
-    """The answer of the first voter that has one; they are asked one after another. A voter that has not read the
-    state yet, as it has just started, is passed over where another one shows it. Errors: `Unreachable` when the time
-    is over: what became of a change is then not known, and it may be asked for again by its id."""
-    end = time.monotonic() + seconds
-    outcomes = dict.fromkeys(voters, "not tried")
-    stateless: Shown | None = None
+    """Send `message` to one voter after another, for up to `seconds`, and return the first answer.
+
+    `voters` are addresses (host:port) by name; `on_progress` gets each progress message. A voter that has just started
+    and has not read the state yet is skipped if another one has it.
+
+    Errors: `Unreachable` when the time is over. The result of a change is then unknown, and the same change, by its id,
+    may be requested again.
+    """
+    deadline = time.monotonic() + seconds
+    errors = dict.fromkeys(voters, "not tried")
+    answer_without_state: Shown | None = None
     while True:
         for name, address in voters.items():
-            if time.monotonic() >= end:
+            if time.monotonic() >= deadline:
                 break
             try:
-                answer = await _ask_voter(address, fleet, message, end, on_progress)
+                answer = await _ask_voter(address, fleet, message, deadline, on_progress)
             except (*CONNECTION_ERRORS, DoesNotVote) as error:
-                outcomes[name] = _reason(error)
+                errors[name] = _reason(error)
                 continue
             if not isinstance(answer, Shown) or answer.state is not None:
                 return answer
-            stateless = answer
-        if stateless is not None:
-            return stateless
-        if time.monotonic() >= end:
-            raise Unreachable("; ".join(f"{name}: {reason}" for name, reason in outcomes.items()))
-        await anyio.sleep(ROUND_PAUSE)
+            answer_without_state = answer
+        if answer_without_state is not None:
+            return answer_without_state
+        if time.monotonic() >= deadline:
+            raise Unreachable("; ".join(f"{name}: {reason}" for name, reason in errors.items()))
+        await anyio.sleep(RETRY_PAUSE_SECONDS)
 
 
 async def show_each(addresses: dict[str, str], fleet: str, seconds: float) -> dict[str, Shown | NoAnswer]:
-    """What each of these members shows; all are asked at once, and have so much time."""
+    """Send a `Show` to all these members (host:port by name) at once; their answers within `seconds`, by name."""
     answers: dict[str, Shown | NoAnswer] = {name: NoAnswer("no answer in time") for name in addresses}
 
     async def ask(name: str, address: str) -> None:
@@ -150,7 +158,7 @@
 
 
 async def _show(address: str, fleet: str, seconds: float) -> Shown:
-    """Errors: `CONNECTION_ERRORS`."""
+    """The answer of one member to a `Show`. Errors: `CONNECTION_ERRORS`."""
     async with await Connection.open(address, fleet) as connection:
         await connection.send(Show())
         while True:
@@ -160,14 +168,14 @@
 
 
 async def _ask_voter(
-    address: str, fleet: str, message: Show | Set, end: float, on_progress: OnProgress
+    address: str, fleet: str, message: Show | Set, deadline: float, on_progress: OnProgress
 ) -> Answer:
-    """Errors: `CONNECTION_ERRORS`, `DoesNotVote`."""
+    """The answer of one voter by `deadline`, on the monotonic clock. Errors: `CONNECTION_ERRORS`, `DoesNotVote`."""
     async with await Connection.open(address, fleet) as connection:
         await connection.send(message)
         while True:
-            left = max(0.0, end - time.monotonic())
-            answer = await connection.receive(min(left, SILENCE))
+            remaining = max(0.0, deadline - time.monotonic())
+            answer = await connection.receive(min(remaining, MESSAGE_TIMEOUT_SECONDS))
             match answer:
                 case Progress():
                     on_progress(answer)
@@ -178,6 +186,7 @@
 
 
 def _reason(error: Exception) -> str:
+    """The text of an error, or one for errors without text."""
     if str(error):
         return str(error)
     return "no answer" if isinstance(error, TimeoutError) else "the connection broke"
--- a/banklift/net/process.py
+++ b/banklift/net/process.py
@@ -1,4 +1,4 @@
-"""What routers and aggregators share as processes: clock, incarnation, stop signals, their line on standard output."""
+"""What processes of routers and aggregators share: clock, incarnation, stop signals, the line on standard output."""
 
 from __future__ import annotations
 
@@ -14,78 +14,82 @@
 import anyio
 from anyio.abc import TaskGroup
 
-SEEDS = 2**63
-COLLECT_AFTER = (50_000, 20, 50)  # objects, and rounds, after which the garbage collector looks for cycles
+SEED_LIMIT = 2**63  # seeds are below this
+# thresholds of the garbage collector's generations: allocated objects, and collections of the generation below
+COLLECTOR_THRESHOLDS = (50_000, 20, 50)
 
 
 class MembershipRefused(Exception):
-    """This program can't be a part of its fleet; the text says why."""
+    """The fleet has refused this process as a member; the text says why."""
 
 
 def clock() -> float:
-    """Seconds; goes on while the machine sleeps, and is never set."""
+    """Seconds since boot. Counts also while the machine is suspended, and is never set."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def new_incarnation() -> int:
-    """Of this process: larger than that of any process by its name that has ended."""
+    """This process's incarnation, larger than that of any earlier process by its name: the time in microseconds."""
     return time.time_ns() // 1000
 
 
 def new_seed() -> int:
-    """Nobody can tell it beforehand."""
-    return random.SystemRandom().randrange(SEEDS)
+    """An unpredictable seed for random numbers."""
+    return random.SystemRandom().randrange(SEED_LIMIT)
 
 
 def announce(role: str, name: str, address: str) -> None:
-    """Say on standard output, in one line of JSON, that a process is up and where it listens."""
+    """Print one line of JSON on standard output that says that a process is up and where it listens."""
     print(json.dumps({role: name, "listening": address}), flush=True)
 
 
 def tune_collector() -> None:
-    """What is there by now stays for good; what requests leave behind has no cycles."""
+    """Exempt all objects of the start from garbage collection, as they live as long as the process, and collect rarely,
+    as requests leave no cycles behind."""
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*COLLECT_AFTER)
+    gc.set_threshold(*COLLECTOR_THRESHOLDS)
 
 
 class StopSignals:
-    """SIGTERM and SIGINT, as they come."""
+    """SIGTERM and SIGINT, in the order of their arrival."""
 
     def __init__(self, received: AsyncIterator[signal.Signals]) -> None:
         self._received = received
 
     async def wait(self) -> str:
-        """The name of the next one."""
+        """Wait for the next signal, and return its name."""
         async for number in self._received:
             return signal.Signals(number).name
-        raise AssertionError("signals never end")
+        raise AssertionError("the stream of signals has ended")
 
 
 @contextmanager
 def stop_signals() -> Iterator[StopSignals]:
-    """Within it, SIGTERM and SIGINT do nothing but end a wait for them."""
+    """Within the block, SIGTERM and SIGINT do nothing but end a `StopSignals.wait`."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as received:
         yield StopSignals(received)
 
 
 @dataclass(frozen=True, slots=True)
 class Running:
-    """A daemon while it runs: its tasks, and what ends it before its time."""
+    """A daemon's tasks, and the errors that have ended it."""
 
     tasks: TaskGroup
     failures: list[BaseException]
 
     def refused(self, reason: str) -> None:
-        """End it: its fleet has turned it away."""
+        """End the daemon, as its fleet has refused it as a member for `reason`."""
         self.failures.append(MembershipRefused(reason))
         self.tasks.cancel_scope.cancel()
 
 
 @asynccontextmanager
 async def running() -> AsyncIterator[Running]:
-    """The tasks of a daemon; all of them end with the block. Errors: the first `MembershipRefused` or `OSError`, by
-    itself and not in a group."""
+    """The tasks of a daemon; all of them end with the block.
+
+    Errors: the first `MembershipRefused` or `OSError`, by itself and not in an exception group.
+    """
     failures: list[BaseException] = []
     try:
         async with anyio.create_task_group() as tasks:
