--- a/banklift/net/__init__.py
+++ b/banklift/net/__init__.py
@@ -1,1 +1,1 @@
-"""The anyio shell: carries out on sockets what the pure machine decides."""
+"""Input and output with anyio: performs on sockets and files the actions that the pure state machines return."""
--- a/banklift/net/aggregator.py
+++ b/banklift/net/aggregator.py
@@ -1,4 +1,4 @@
-"""A lease aggregator as a process: no data plane, nothing on disk; it ends on SIGTERM or SIGINT."""
+"""The process of a lease aggregator. It serves no requests, keeps nothing on disk, and ends on SIGTERM or SIGINT."""
 
 from __future__ import annotations
 
@@ -24,12 +24,13 @@
 
 
 def aggregator_plan(name: str, fleet: Fleet) -> Plan:
-    """An aggregator leases from the voters."""
+    """The plan of aggregator `name`: it leases from the voters."""
     return Plan(fleet.name, name, tuple(fleet.voters), fleet.lease, fleet.drift, (), fleet.granted_sub_lease)
 
 
 def listening_address(name: str, fleet: Fleet) -> str:
-    """`listen` if the file has one; in a voter's file that is the voter's, and the aggregator's is in the table."""
+    """Where aggregator `name` listens, as host:port: the file's `listen` if it has one, else its address in the table
+    of aggregators. In a voter's file `listen` is the voter's own, so the table's address is taken."""
     if fleet.listen is not None and name not in fleet.voters:
         return fleet.listen
     return fleet.aggregators[name].address
@@ -38,8 +39,9 @@
 async def serve_aggregator(file: AggregatorFile) -> None:
     """Run until SIGTERM or SIGINT.
 
-    Once it listens, one line of JSON with its name and address goes to standard output. Errors: `OSError` if the
-    address can't be had, `MembershipRefused` if the fleet turns it away.
+    Once the aggregator listens, it prints one line of JSON with its name and address on standard output.
+
+    Errors: `OSError` if the address can't be bound, `MembershipRefused` if the fleet refuses it as a member.
     """
     fleet = file.fleet
     logger = structlog.get_logger().bind(aggregator=file.name)
@@ -57,9 +59,9 @@
                 AggregatorNode(aggregator_plan(file.name, fleet), new_incarnation(), new_seed()),
                 dict(fleet.voters),
                 listening_address(file.name, fleet),
-                _never_saved,
-                _never_adopted,
-                _never_extended,
+                _save_unexpectedly,
+                _adopt_unexpectedly,
+                _extend_unexpectedly,
                 run.refused,
                 log,
             )
@@ -71,13 +73,13 @@
             await leave(host, env)
 
 
-def _never_saved(content: bytes, done: object) -> None:
+def _save_unexpectedly(content: bytes, done: object) -> None:
     raise AssertionError("an aggregator keeps nothing on disk")
 
 
-def _never_adopted(epoch: int, policy: bytes) -> None:
-    raise AssertionError("an aggregator takes no requests")
+def _adopt_unexpectedly(epoch: int, policy: bytes) -> None:
+    raise AssertionError("an aggregator adopts no policy")
 
 
-def _never_extended(until: float, retry_after: float) -> None:
-    raise AssertionError("an aggregator takes no requests")
+def _extend_unexpectedly(until: float, retry_after: float) -> None:
+    raise AssertionError("an aggregator accepts no requests")
--- a/banklift/net/fleet.py
+++ b/banklift/net/fleet.py
@@ -1,4 +1,4 @@
-"""A member of a fleet in its surroundings: links, disk and clock for a router's or an aggregator's node."""
+"""A fleet member's node, of a router or an aggregator, on an `Env`: its links, disk and clock."""
 
 from __future__ import annotations
 
@@ -12,18 +12,25 @@
 from banklift.net.env import Alarm, Env, Handle, Peer
 from banklift.net.router import Log
 
-Saved = Callable[[str], None]
+SaveCallback = Callable[[str], None]  # gets the error of a write; empty if it succeeded
 
 
 class FleetHost:
-    """Runs `node`.
+    """Runs `node`: passes it events, and performs the actions that it returns.
 
-    `addresses`: of all members that it connects to, by name. `listen`: where others make links, None for who takes
-    none. `save` writes a record and calls back with what went wrong, or with nothing. `adopt` and `until` tell the
-    router's machine under which policy and up to when it may take requests. `ousted` is told when this program can't
-    be a part of the fleet. An aggregator saves and adopts nothing.
+    | argument | meaning |
+    |---|---|
+    | `addresses` | host:port of all members that the node connects to, by name |
+    | `listen` | host:port at which it accepts links; None if it accepts none |
+    | `save` | writes a record to disk, and calls back with the error, or with an empty text |
+    | `adopt_policy` | puts a policy in force in the router's machine: its epoch and text |
+    | `extend_lease` | the router may accept requests up to a time; later ones get a retry-after in seconds |
+    | `on_refused` | the fleet has refused this process as a member, for a reason |
+    | `log` | writes log events |
 
-    Errors: `OSError` if the address can't be had.
+    An aggregator saves nothing and adopts no policy.
+
+    Errors: `OSError` if the address can't be bound.
     """
 
     def __init__(
@@ -32,24 +39,32 @@
         node: Member,
         addresses: dict[str, str],
         listen: str | None,
-        save: Callable[[bytes, Saved], None],
-        adopt: Callable[[int, bytes], None],
-        until: Callable[[float, float], None],
-        ousted: Callable[[str], None],
+        save: Callable[[bytes, SaveCallback], None],
+        adopt_policy: Callable[[int, bytes], None],
+        extend_lease: Callable[[float, float], None],
+        on_refused: Callable[[str], None],
         log: Log,
     ) -> None:
         self.env, self.node, self.addresses = env, node, addresses
-        self.save, self.adopt, self.until, self.ousted, self.log = save, adopt, until, ousted, log
+        self.save, self.adopt_policy, self.extend_lease, self.on_refused, self.log = (
+            save,
+            adopt_policy,
+            extend_lease,
+            on_refused,
+            log,
+        )
         self.handles: dict[int, Handle] = {}
         self.dead = False
         self.listener = env.listen(listen, lambda: _LinkPeer(self, 0)) if listen is not None else None
         self.alarm = Alarm(env, lambda: float("inf") if self.dead else node.due, self._wake)
 
     def start(self) -> None:
+        """Start the node."""
         self.carry(self.node.start(self.env.now()))
 
     @property
     def address(self) -> str:
+        """Where it listens, as host:port; empty if it doesn't."""
         return self.listener.address if self.listener is not None else ""
 
     def _wake(self) -> None:
@@ -57,7 +72,7 @@
             self.carry(self.node.wake(self.env.now()))
 
     def carry(self, actions: list[Action]) -> None:
-        """Do what the node says, in order."""
+        """Perform the node's actions in order, and schedule its next wake-up."""
         for action in actions:
             match action:
                 case Write(link, data):
@@ -72,11 +87,11 @@
                     self.save(record, lambda error, number=number: self._saved(number, error))  # type: ignore[misc]
                 case EpochAdopted(epoch, policy):
                     self.log("policy in force", {"epoch": epoch})
-                    self.adopt(epoch, policy)
+                    self.adopt_policy(epoch, policy)
                 case LeaseExtended(time, retry_after):
-                    self.until(time, retry_after)
+                    self.extend_lease(time, retry_after)
                 case Ousted(reason):
-                    self.ousted(reason)
+                    self.on_refused(reason)
                 case LogLine(event, fields):
                     self.log(event, fields)
         self.alarm.look()
@@ -86,21 +101,21 @@
             self.carry(self.node.saved(self.env.now(), number, error))
 
     def leave(self) -> list[Handle]:
-        """Graceful shutdown: take no more requests, give all leases back, and do nothing from then on. The links on
-        which that was said are ended in order; they are returned, so that it can be waited for."""
+        """Graceful shutdown: accept no more requests, release all leases, and do nothing from then on. Returns the
+        links on which leases were released; they end by a lingering close, for which the caller may wait."""
         if self.dead:
             return []
         actions = self.node.leave(self.env.now())
         self.carry(actions)
         self.dead = True
         numbers = {action.link for action in actions if isinstance(action, Write)}
-        told = [self.handles.pop(number) for number in sorted(numbers) if number in self.handles]
-        for handle in told:
+        notified = [self.handles.pop(number) for number in sorted(numbers) if number in self.handles]
+        for handle in notified:
             handle.finish()
-        return told
+        return notified
 
     def kill(self) -> None:
-        """As by SIGKILL, for routers that share a process with what watches them."""
+        """Simulate SIGKILL, for members that share a process with a test or simulator."""
         self.dead = True
         if self.listener is not None:
             self.listener.close()
@@ -110,7 +125,7 @@
 
 
 class _LinkPeer(Peer):
-    """One end of a link; `link` 0: it was made from the other end."""
+    """One end of a link. `link` is its number, 0 for a link from another member until it is accepted."""
 
     def __init__(self, host: FleetHost, link: int) -> None:
         self.host, self.link = host, link
@@ -140,5 +155,5 @@
             self.host.carry(self.host.node.lost(self.host.env.now(), self.link, reason))
 
     def full(self) -> None:
-        """It reads nothing: whatever it is owed is no longer worth keeping."""
-        self.lost("it does not read")
+        """Drop the link: the other end does not read, and unsent messages are too old to be useful."""
+        self.lost("the other end does not read")
--- a/banklift/net/fleet_daemon.py
+++ b/banklift/net/fleet_daemon.py
@@ -1,4 +1,4 @@
-"""How a router joins its fleet and leaves it: plan, policies, a voter's state, leases that are given back."""
+"""A router joins its fleet and leaves it: plan, policies, a voter's state on disk, release of leases."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 from banklift.proxy.fleet_plan import Fleet
 from banklift.proxy.plan import Config
 
-LEAVE_TIME = 0.5  # seconds in which leases that are given back reach their grantors, at the most
-LEAVE_POLL = 0.005  # seconds between looks at whether they have
+RELEASE_TIMEOUT_SECONDS = 0.5  # longest wait for the grantors to receive the released leases
+RELEASE_POLL_SECONDS = 0.005  # interval of the checks whether they have
 
 
 def router_plan(name: str, fleet: Fleet) -> Plan:
-    """A router leases from the aggregators that it prefers in its zone. One that is a voter, and any router of a fleet
-    without aggregators, leases from the voters."""
+    """The plan of router `name`: it leases from its preferred aggregators in its zone. A router that is a voter, or
+    whose fleet has no aggregators, leases from the voters."""
     return Plan(
         fleet.name,
         name,
@@ -52,32 +52,33 @@
 
 
 def peer_addresses(plan: Plan, fleet: Fleet) -> dict[str, str]:
-    """Where all listen that a member with this plan may connect to."""
+    """The addresses (host:port), by name, of all members that a member with this plan may connect to."""
     if plan.aggregators:
         return {name: fleet.aggregators[name].address for name in plan.aggregators}
     return dict(fleet.voters)
 
 
 class RouterPolicies:
-    """The policies of the fleet as this router checks them and puts them in force."""
+    """Checks the fleet's policies for this router, and puts them in force in its machine."""
 
     def __init__(self, config: Config, router: RouterHost) -> None:
         self.config, self.router = config, router
         self.descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        self.newest: tuple[bytes, policy.Policy] | None = None  # the last one that was decoded
+        self.last_decoded: tuple[bytes, policy.Policy] | None = None  # text and content
 
     def check(self, text: bytes) -> tuple[str, ...]:
-        """What this router has against a policy."""
+        """The reasons for which this router can't run with the policy `text`; empty if it can."""
         return policy.against(self.config, text, self.descriptors)
 
     def adopt(self, epoch: int, text: bytes) -> None:
-        """Take requests under it from now on."""
-        if self.newest is None or self.newest[0] != text:
-            self.newest = text, policy.decode(text)
-        self.router.tell(build.adopt(self.config, self.newest[1]))
+        """Serve requests under the policy `text` from now on."""
+        if self.last_decoded is None or self.last_decoded[0] != text:
+            self.last_decoded = text, policy.decode(text)
+        self.router.tell(build.adopt(self.config, self.last_decoded[1]))
 
     def extend(self, until: float, retry_after: float) -> None:
-        """Take requests up to that time; later ones are refused, to come back after so many seconds."""
+        """Accept requests up to the time `until`, on the clock of `Env`. Later ones are refused, with `retry_after` in
+        seconds."""
         self.router.tell(ev.Until(until, retry_after))
 
 
@@ -90,8 +91,11 @@
     run: Running,
     log: Log,
 ) -> FleetHost:
-    """Make this router a part of its fleet; it takes no request before it has a lease. `run` ends when the fleet
-    turns it away. Errors: `MembershipRefused`, `OSError`."""
+    """Make this router a member of its fleet. It accepts no request before it has a lease.
+
+    `folder` is the base of relative paths. `run` ends if the fleet refuses this router later. Errors:
+    `MembershipRefused` if a voter's state can't be used, `OSError` if the address can't be bound.
+    """
     plan = router_plan(config.name, fleet)
     state = _voter_state(plan, fleet, folder, log)
     policies = RouterPolicies(config, router)
@@ -126,17 +130,17 @@
 
 
 async def leave(host: FleetHost, env: SocketEnv) -> None:
-    """Give all leases back, and wait until those who granted them know, `LEAVE_TIME` at the most."""
-    told = host.leave()
-    with anyio.move_on_after(LEAVE_TIME):
-        while any(
-            handle in env.lingering for handle in told
-        ):  # until the other end has read all and closed its side
-            await anyio.sleep(LEAVE_POLL)
+    """Release all leases, and wait until their grantors have received that, `RELEASE_TIMEOUT_SECONDS` at the most."""
+    notified = host.leave()
+    with anyio.move_on_after(RELEASE_TIMEOUT_SECONDS):
+        # a link lingers until the other end has read everything and closed its side
+        while any(handle in env.lingering for handle in notified):
+            await anyio.sleep(RELEASE_POLL_SECONDS)
 
 
 def _voter_state(plan: Plan, fleet: Fleet, folder: Path, log: Log) -> VoterState | None:
-    """What a voter's folder holds; None for a router that is no voter. Errors: `MembershipRefused`."""
+    """The state in a voter's folder; None for a router that is not a voter. Errors: `MembershipRefused` if it can't be
+    used."""
     if plan.name not in plan.voters:
         return None
     assert fleet.folder is not None
--- a/banklift/net/voter_state.py
+++ b/banklift/net/voter_state.py
@@ -1,4 +1,4 @@
-"""The folder in which a voter keeps its state: locked, read and checked at the start, written while it runs."""
+"""A voter's state on disk: its folder is locked, read and checked at the start, and written while the voter runs."""
 
 from __future__ import annotations
 
@@ -18,19 +18,21 @@
 
 
 class StateRefused(Exception):
-    """The folder can't be used by this voter; the text says why. Nothing in it was changed."""
+    """This voter can't use the folder; the text says why. No state in it was changed."""
 
 
 @dataclass(frozen=True, slots=True)
 class VoterState:
-    """`record`: what the folder held; None if that was nothing, or damaged. `absent`: it held nothing."""
+    """A voter's open folder. `record` is its state at the start, None if it was absent or damaged. `absent` says that
+    the folder had no state."""
 
     slots: Slots
     record: Record | None
     absent: bool
 
     def save(self, tasks: TaskGroup, content: bytes, done: Callable[[str], None]) -> None:
-        """Write beside the event loop. `done` is called with what went wrong, or with nothing."""
+        """Write `content` in a worker thread, so that the event loop is not blocked. `done` is called with the error,
+        or with an empty text."""
 
         async def write() -> None:
             try:
@@ -43,19 +45,22 @@
         tasks.start_soon(write)
 
 
-def open_state(place: Path, fleet: str, voter: str, log: Log) -> VoterState:
-    """Lock the folder, which is made if need be, and read it. Errors: `StateRefused`."""
+def open_state(folder: Path, fleet: str, voter: str, log: Log) -> VoterState:
+    """Create the folder if it doesn't exist, lock it, and read the state of `voter`.
+
+    Errors: `StateRefused` if the folder can't be read or locked, or its state can't be used.
+    """
     try:
-        place.mkdir(parents=True, exist_ok=True)
-        _lock(place)
-        slots = Slots(place)
+        folder.mkdir(parents=True, exist_ok=True)
+        _lock(folder)
+        slots = Slots(folder)
         loaded = slots.load()
     except (StoreError, OSError) as error:
         raise StateRefused(str(error)) from None
     record = None
     if loaded.content is not None:
-        record = _decode(loaded.content, place)
-        _check_owner(record, place, fleet, voter)
+        record = _decode(loaded.content, folder)
+        _check_owner(record, folder, fleet, voter)
     log(
         "state read",
         {
@@ -68,32 +73,35 @@
     return VoterState(slots, record, loaded.absent)
 
 
-def _lock(place: Path) -> None:
-    """Two processes on one folder would each undo what the other has written. Errors: `OSError`."""
-    file = os.open(place / "lock", os.O_RDWR | os.O_CREAT, 0o600)
+def _lock(folder: Path) -> None:
+    """Lock the folder until this process ends, as two processes on one folder would overwrite each other's state.
+
+    Errors: `OSError` if another process has locked it.
+    """
+    file = os.open(folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)
     try:
-        fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)  # kept until this process ends
+        fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)  # `file` stays open, and keeps the lock, to the end
     except OSError:
         os.close(file)
-        raise OSError(f"{place}: another process uses it") from None
+        raise OSError(f"{folder}: another process uses it") from None
 
 
-def _decode(content: bytes, place: Path) -> Record:
-    """Errors: `StateRefused` if a newer build has written it, or none that is known."""
+def _decode(content: bytes, folder: Path) -> Record:
+    """The record in a stored state. Errors: `StateRefused` if a newer build wrote it, or its format is unknown."""
     try:
-        head = msgspec.msgpack.decode(content)
-        written = head.get("format") if isinstance(head, dict) else None
-        if isinstance(written, int) and written > FORMAT:
-            raise StateRefused(f"{place}: a state of a newer build (format {written}, here {FORMAT})")
+        untyped = msgspec.msgpack.decode(content)
+        stored_format = untyped.get("format") if isinstance(untyped, dict) else None
+        if isinstance(stored_format, int) and stored_format > FORMAT:
+            raise StateRefused(f"{folder}: a state of a newer build (format {stored_format}, here {FORMAT})")
         return msgspec.msgpack.decode(content, type=Record)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise StateRefused(f"{place}: not a state that this build knows: {error}") from None
+        raise StateRefused(f"{folder}: not a state that this build knows: {error}") from None
 
 
-def _check_owner(record: Record, place: Path, fleet: str, voter: str) -> None:
-    """Errors: `StateRefused` if it is another fleet's or another voter's."""
+def _check_owner(record: Record, folder: Path, fleet: str, voter: str) -> None:
+    """Errors: `StateRefused` if the record belongs to another fleet or another voter."""
     if (record.fleet, record.voter) != (fleet, voter):
         raise StateRefused(
-            f"{place}: the state of voter {record.voter!r} of fleet {record.fleet!r}, and this "
+            f"{folder}: the state of voter {record.voter!r} of fleet {record.fleet!r}, and this "
             f"is {voter!r} of {fleet!r}"
         )
