--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,9 @@
-"""Connections on real sockets: how a listener closes and how a connection ends."""
+"""Connections on real sockets.
+
+Answers must not be lost when a listener closes or a connection ends: the kernel resets connections that were not
+accepted, and those closed with unread input. Connections that are closing must not use up the descriptors, and answers
+for a slow reader must not pile up.
+"""
 
 from __future__ import annotations
 
@@ -24,10 +29,10 @@
 
 
 class Answering(Peer):
-    """Answers the first bytes that come, and ends the connection."""
+    """Answers the first data that arrives, and finishes the connection."""
 
-    def __init__(self, served: Callable[[], None], away: bool = False) -> None:
-        self.served, self.away = served, away
+    def __init__(self, on_answered: Callable[[], None], away: bool = False) -> None:
+        self.on_answered, self.away = on_answered, away
 
     def up(self, handle: Handle) -> None:
         self.handle = handle
@@ -35,7 +40,7 @@
     def data(self, data: bytes) -> None:
         self.handle.send(ANSWER)
         self.handle.finish(self.away)
-        self.served()
+        self.on_answered()
 
     def eof(self) -> None:
         pass
@@ -44,33 +49,35 @@
         pass
 
 
-async def play(act: Callable[[SocketEnv, Callable[[], Peer]], None], served: int, away: bool = False) -> None:
-    """Let `act` begin, and run until that many were answered and their connections have ended."""
+async def run_until_answered(
+    act: Callable[[SocketEnv, Callable[[], Peer]], None], connections: int, away: bool = False
+) -> None:
+    """Call `act`, and run until so many connections were answered and have closed."""
     async with anyio.create_task_group() as tasks:
-        env, count = SocketEnv(tasks, alone=True), 0
+        env, answered = SocketEnv(tasks, alone=True), 0
 
-        def one() -> None:
-            nonlocal count
-            count += 1
+        def count_answer() -> None:
+            nonlocal answered
+            answered += 1
 
-        def look() -> None:
-            if count == served and not env.handles:
+        def check() -> None:
+            if answered == connections and not env.handles:
                 env.stop()
             else:
-                env.at(env.now() + 0.001, look)
+                env.at(env.now() + 0.001, check)
 
-        act(env, lambda: Answering(one, away))
-        look()
+        act(env, lambda: Answering(count_answer, away))
+        check()
 
 
-@pytest.mark.parametrize("made", [1, 65, 200])
-def test_what_was_connected_when_a_listener_closes_is_answered(made: int) -> None:
+@pytest.mark.parametrize("connections", [1, 65, 200])
+def test_connections_in_the_backlog_are_answered_when_a_listener_closes(connections: int) -> None:
     callers: list[socket.socket] = []
 
     def act(env: SocketEnv, accept: Callable[[], Peer]) -> None:
         listener = env.listen("127.0.0.1:0", accept)
         host, _, port = listener.address.partition(":")
-        for _ in range(made):  # the kernel makes the connections; nobody has taken one yet
+        for _ in range(connections):  # the kernel completes them; none is accepted before `close`
             caller = socket.create_connection((host, int(port)), timeout=10)
             caller.sendall(b"question")
             caller.shutdown(socket.SHUT_WR)
@@ -78,13 +85,13 @@
         listener.close()
 
     with anyio.from_thread.start_blocking_portal() as portal:
-        portal.call(play, act, made)
-    assert [caller.recv(100) for caller in callers] == [ANSWER] * made
+        portal.call(run_until_answered, act, connections)
+    assert [caller.recv(100) for caller in callers] == [ANSWER] * connections
     for caller in callers:
         caller.close()
 
 
-def test_an_answer_arrives_though_much_of_what_was_sent_is_unread() -> None:
+def test_an_answer_arrives_though_much_of_the_input_is_unread() -> None:
     callers: list[socket.socket] = []
 
     def act(env: SocketEnv, accept: Callable[[], Peer]) -> None:
@@ -93,7 +100,9 @@
         caller = socket.create_connection((host, int(port)), timeout=10)
         caller.setblocking(False)
         sent = 0
-        while sent < DISCARD_LIMIT_BYTES - 1:  # more than is read at once, so a reset would follow the answer
+        while (
+            sent < DISCARD_LIMIT_BYTES - 1
+        ):  # more than one read takes, so closing would send a reset after the answer
             try:
                 sent += caller.send(b"x" * min(4096, DISCARD_LIMIT_BYTES - 1 - sent))
             except BlockingIOError:
@@ -103,17 +112,17 @@
         callers.append(caller)
 
     with anyio.from_thread.start_blocking_portal() as portal:
-        portal.call(play, act, 1, True)
+        portal.call(run_until_answered, act, 1, True)
     (caller,) = callers
     caller.setblocking(True)
     caller.settimeout(10)
     assert caller.recv(100) == ANSWER
-    assert caller.recv(100) == b""  # and an end in order, no reset
+    assert caller.recv(100) == b""  # the connection was closed, not reset
     caller.close()
 
 
-class Told(Peer):
-    """Notes why it was lost."""
+class FailingPeer(Peer):
+    """Records why its connection could not be opened."""
 
     reason = ""
 
@@ -132,13 +141,13 @@
 
 async def connect_without_descriptors(monkeypatch: pytest.MonkeyPatch, close: bool) -> str:
     async with anyio.create_task_group() as tasks:
-        env, peer = SocketEnv(tasks, alone=True), Told()
+        env, peer = SocketEnv(tasks, alone=True), FailingPeer()
 
-        def none(*arguments: object) -> socket.socket:
+        def raise_out_of_descriptors(*arguments: object) -> socket.socket:
             raise OSError(errno.EMFILE, "no descriptors left")
 
         with monkeypatch.context() as patch:
-            patch.setattr(socket, "socket", none)
+            patch.setattr(socket, "socket", raise_out_of_descriptors)
             handle = env.connect("127.0.0.1:9", peer)
         handle.send(b"never sent")
         if close:
@@ -147,54 +156,53 @@
     return peer.reason
 
 
-def test_without_a_descriptor_a_connection_fails_and_nothing_else(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_a_descriptor_only_the_connection_fails(monkeypatch: pytest.MonkeyPatch) -> None:
     with anyio.from_thread.start_blocking_portal() as portal:
         assert "no descriptors left" in portal.call(connect_without_descriptors, monkeypatch, False)
-        assert (
-            portal.call(connect_without_descriptors, monkeypatch, True) == ""
-        )  # who closed it hears nothing
+        # a peer whose handle was closed is not told
+        assert portal.call(connect_without_descriptors, monkeypatch, True) == ""
 
 
-def test_connections_that_end_hold_few_descriptors() -> None:
-    """Clients that never close, one after another: the first go when more than `MOST_LINGERING` are waited for."""
+def test_connections_that_are_closing_hold_few_descriptors() -> None:
+    """Many clients never close their side. Beyond `MOST_LINGERING` such connections the first ones are closed."""
     callers: list[socket.socket] = []
     most = 0
 
-    async def crowd() -> None:
+    async def serve_many_clients() -> None:
         nonlocal most
         async with anyio.create_task_group() as tasks:
-            env, count = SocketEnv(tasks, alone=True), 0
+            env, answered = SocketEnv(tasks, alone=True), 0
 
-            def one() -> None:
-                nonlocal count
-                count += 1
+            def count_answer() -> None:
+                nonlocal answered
+                answered += 1
 
-            listener = env.listen("127.0.0.1:0", lambda: Answering(one))
+            listener = env.listen("127.0.0.1:0", lambda: Answering(count_answer))
             host, _, port = listener.address.partition(":")
             for _ in range(3 * MOST_LINGERING):
                 caller = socket.create_connection((host, int(port)), timeout=10)
                 caller.sendall(b"question")
                 callers.append(caller)
 
-            def look() -> None:
+            def check() -> None:
                 nonlocal most
                 most = max(most, len(env.lingering))
-                if count == 3 * MOST_LINGERING:
+                if answered == 3 * MOST_LINGERING:
                     env.stop()
                 else:
-                    env.at(env.now() + 0.001, look)
+                    env.at(env.now() + 0.001, check)
 
-            look()
+            check()
 
     with anyio.from_thread.start_blocking_portal() as portal:
-        portal.call(crowd)
+        portal.call(serve_many_clients)
     assert 0 < most <= MOST_LINGERING
     for caller in callers:
         caller.close()
 
 
-class Slow(Peer):
-    """Reads nothing; notes when that is told here."""
+class SlowReader(Peer):
+    """A peer whose other end reads nothing. Records that it was told so."""
 
     is_full = False
 
@@ -214,20 +222,20 @@
         self.is_full = True
 
 
-class Feeding(Peer):
-    """What comes makes one large answer for the slow one, until that is known to be full."""
+class Producer(Peer):
+    """Sends a large answer to the slow reader for each data event, until that is reported as slow."""
 
-    def __init__(self, slow: Slow, fed: list[int]) -> None:
-        self.slow, self.fed = slow, fed
+    def __init__(self, slow: SlowReader, totals: list[int]) -> None:
+        self.slow, self.totals = slow, totals  # bytes sent, and data events
 
     def up(self, handle: Handle) -> None:
         pass
 
     def data(self, data: bytes) -> None:
-        self.fed[1] += 1
+        self.totals[1] += 1
         if not self.slow.is_full:
-            self.slow.handle.send(b"x" * LARGE)
-            self.fed[0] += LARGE
+            self.slow.handle.send(b"x" * ANSWER_BYTES)
+            self.totals[0] += ANSWER_BYTES
 
     def eof(self) -> None:
         pass
@@ -236,31 +244,36 @@
         pass
 
 
-LARGE = 900_000
+ANSWER_BYTES = 900_000
 
 
 @pytest.mark.parametrize("alone", [True, False])
-def test_a_slow_reader_is_known_before_a_round_of_sockets_is_over(alone: bool) -> None:
-    """Sixteen sockets are ready at once, and each makes an answer for one that reads nothing."""
-    fed, slow = [0, 0], Slow()
+def test_a_slow_reader_is_reported_before_a_batch_of_sockets_is_over(alone: bool) -> None:
+    """Sixteen sockets are ready at once, and each sends an answer to one client that reads nothing."""
+    totals, slow = [0, 0], SlowReader()
     callers: list[socket.socket] = []
 
     def act(env: SocketEnv) -> Callable[[], bool]:
         callers.extend(
             pair(
                 env,
-                [slow, *(Feeding(slow, fed) for _ in range(MAX_SOCKETS_PER_BATCH))],
+                [slow, *(Producer(slow, totals) for _ in range(MAX_SOCKETS_PER_BATCH))],
                 MAX_SOCKETS_PER_BATCH + 1,
             )
         )
-        for caller in callers[1:]:  # before any is looked at
+        for caller in callers[1:]:  # before any of them is polled
             caller.sendall(b"question")
-        return lambda: fed[1] >= MAX_SOCKETS_PER_BATCH
+        return lambda: totals[1] >= MAX_SOCKETS_PER_BATCH
 
     run(act, alone)
-    assert slow.is_full and fed[1] == MAX_SOCKETS_PER_BATCH
-    # what the kernel holds, what may pile up here, and one answer more
+    assert slow.is_full and totals[1] == MAX_SOCKETS_PER_BATCH
+    # bytes in the kernel, unsent bytes that are allowed here, and one answer more
     held = callers[0].getsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF) + 4 * HIGH_WATER_BYTES
-    assert LARGE < fed[0] <= held + HIGH_WATER_BYTES + LARGE < MAX_SOCKETS_PER_BATCH * LARGE
+    assert (
+        ANSWER_BYTES
+        < totals[0]
+        <= held + HIGH_WATER_BYTES + ANSWER_BYTES
+        < MAX_SOCKETS_PER_BATCH * ANSWER_BYTES
+    )
     for caller in callers:
         caller.close()
