--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,8 @@
-"""The service as the platform starts it: a process, real sockets, psycopg as its client, signals, bad files."""
+"""The service as the platform starts it: as a process on real sockets, with psycopg as its client.
+
+Signals must start a graceful shutdown or a reload without losing answers, and an invalid configuration must end the
+process with one line that names the fault.
+"""
 
 from __future__ import annotations
 
@@ -23,27 +27,27 @@
 from banklift.net.sockets import SocketEnv
 from tests.platform_site import SETTINGS
 
-COMMENT = "/* id={id},c={kind},t=acme,d=20000,cluster=0 */"
-PATIENT = {
+COMMENT = "/* id={id},c={class_name},t=acme,d=20000,cluster=0 */"
+LONG_DEADLINE_SETTINGS = {
     **SETTINGS,
     "services": [{**service, "aim_s": 10.0, "deadline_s": 20.0} for service in SETTINGS["services"]],
 }
 
 
 class Platform:
-    """Stand-ins on sockets, in a thread of their own, and the router's process."""
+    """Emulated members and catalogues on sockets, in a thread of their own, and the router's process."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.ready = threading.Event()
-        self.moved = threading.Event()  # the other catalogue was called
-        self.ids = 0
+        self.other_called = threading.Event()  # set once the other catalogue was called
+        self.last_id = 0
         self.thread = threading.Thread(target=lambda: anyio.run(self._serve), daemon=True)
         self.thread.start()
         assert self.ready.wait(30)
-        with socket.socket() as free:
-            free.bind(("127.0.0.1", 0))
-            self.listen = f"127.0.0.1:{free.getsockname()[1]}"
+        with socket.socket() as free_socket:
+            free_socket.bind(("127.0.0.1", 0))
+            self.listen = f"127.0.0.1:{free_socket.getsockname()[1]}"
         self.config: dict[str, Any] = {
             "name": "n0",
             "listen": self.listen,
@@ -51,7 +55,7 @@
             "seed": "8c1f",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
             "known": self.catalogue.whole(),
-            "settings": PATIENT,
+            "settings": LONG_DEADLINE_SETTINGS,
         }
         self.process: subprocess.Popen[str] | None = None
 
@@ -60,17 +64,17 @@
         async with anyio.create_task_group() as tasks, anyio.from_thread.BlockingPortal() as self.portal:
             env = self.env = SocketEnv(tasks, time.time)
             store: dict[bytes, bytes] = {}
-            self.nodes = [PgNode(env, primary=place == 0, store=store).start() for place in range(3)]
-            self.catalogue, self.other = Catalogue(env).start(), Catalogue(env).start()
-            for catalogue in (self.catalogue, self.other):
-                for place, node in enumerate(self.nodes):
-                    catalogue.list(f"s{place}", node.address, writes=node.primary)
-            self.other.on_call = self.moved.set
+            self.members = [PgNode(env, primary=index == 0, store=store).start() for index in range(3)]
+            self.catalogue, self.other_catalogue = Catalogue(env).start(), Catalogue(env).start()
+            for catalogue in (self.catalogue, self.other_catalogue):
+                for index, member in enumerate(self.members):
+                    catalogue.list(f"s{index}", member.address, writes=member.primary)
+            self.other_catalogue.on_call = self.other_called.set
             self.ready.set()
             await self.stopping.wait()
             tasks.cancel_scope.cancel()
 
-    def write(self) -> Path:
+    def write_config(self) -> Path:
         path = self.folder / "config.json"
         path.write_text(json.dumps(self.config))
         return path
@@ -81,7 +85,7 @@
             "ROUTER_NAME": "n0",
             "ROUTER_LISTEN": self.listen,
             "ROUTER_DISCOVERY": self.catalogue.address,
-            "ROUTER_CONFIG": str(self.write()),
+            "ROUTER_CONFIG": str(self.write_config()),
         }
 
     def start(self) -> None:
@@ -93,13 +97,13 @@
         )
         self.said("listening")
 
-    def said(self, word: str) -> str:
-        """Wait for a line of the log that has this word."""
+    def said(self, text: str) -> str:
+        """Wait for a line of the process's log that contains `text`, and return it."""
         assert self.process is not None and self.process.stderr is not None
         for line in self.process.stderr:
-            if word in line:
+            if text in line:
                 return line
-        raise AssertionError(f"ended without saying {word!r}")
+        raise AssertionError(f"the process ended without logging {text!r}")
 
     def connect(self) -> psycopg.Connection[tuple[bytes]]:
         host, _, port = self.listen.partition(":")
@@ -114,9 +118,10 @@
             sslmode="prefer",
         )
 
-    def comment(self, kind: str) -> str:
-        self.ids += 1
-        return COMMENT.format(id=f"{self.ids:016x}", kind=kind)
+    def comment(self, class_name: str) -> str:
+        """The comment of a new statement of this class."""
+        self.last_id += 1
+        return COMMENT.format(id=f"{self.last_id:016x}", class_name=class_name)
 
     def stop(self) -> None:
         if self.process is not None and self.process.poll() is None:
@@ -134,6 +139,7 @@
 
 
 def save(platform: Platform, connection: psycopg.Connection[tuple[bytes]], key: str, text: str) -> bytes:
+    """Write a value, given as hexadecimal text; returns what the member has stored."""
     row = connection.execute(
         f"INSERT INTO kv (name, content) VALUES ('{key}', '\\x{text}') RETURNING content "
         f"{platform.comment('save')}"
@@ -142,7 +148,7 @@
     return row[0]
 
 
-def test_psycopg_writes_reads_and_hears_of_its_faults(platform: Platform) -> None:
+def test_psycopg_writes_reads_and_gets_errors_for_its_faults(platform: Platform) -> None:
     platform.start()
     with platform.connect() as connection:
         assert save(platform, connection, "k", "9f03") == b"\x9f\x03"
@@ -157,36 +163,36 @@
         assert save(platform, connection, "k", "01") == b"\x01"
 
 
-def test_sigterm_answers_what_is_open_and_ends(platform: Platform) -> None:
-    platform.config["settings"] = {**SETTINGS}  # whose longest deadline says how long it may take
+def test_after_sigterm_open_connections_are_served_and_the_process_ends(platform: Platform) -> None:
+    platform.config["settings"] = {**SETTINGS}  # the shutdown may take as long as their longest deadline
     platform.start()
     assert platform.process is not None
     with platform.connect() as connection:
         assert save(platform, connection, "k", "01") == b"\x01"
         platform.process.send_signal(signal.SIGTERM)
         platform.said("leaving")
-        assert save(platform, connection, "k", "02") == b"\x02"  # it has no other way in
-        with platform.connect() as late:
-            assert save(platform, late, "k", "03") == b"\x03"
+        assert save(platform, connection, "k", "02") == b"\x02"  # the client has no other connection
+        with platform.connect() as late_connection:
+            assert save(platform, late_connection, "k", "03") == b"\x03"
         platform.said('"left","unanswered":0')
     assert platform.process.wait(20) == 0
 
 
-def test_sighup_moves_discovery_and_a_bad_file_changes_nothing(platform: Platform) -> None:
+def test_sighup_moves_discovery_and_an_invalid_file_changes_nothing(platform: Platform) -> None:
     platform.start()
     assert platform.process is not None
     with platform.connect() as connection:
         assert save(platform, connection, "k", "01") == b"\x01"
         platform.config["discovery"] = 5
-        platform.write()
+        platform.write_config()
         platform.process.send_signal(signal.SIGHUP)
         assert "discovery: host:port is needed" in platform.said("refused")
-        assert not platform.other.calls
-        platform.config["discovery"] = platform.other.address
-        platform.write()
+        assert not platform.other_catalogue.calls
+        platform.config["discovery"] = platform.other_catalogue.address
+        platform.write_config()
         platform.process.send_signal(signal.SIGHUP)
         platform.said("read again")
-        assert platform.moved.wait(60)
+        assert platform.other_called.wait(60)
         assert save(platform, connection, "k", "02") == b"\x02"
 
 
@@ -205,6 +211,8 @@
 
 
 def change(*path: str, to: object) -> Callable[[dict[str, Any]], None]:
+    """A change of one value of a configuration; None removes it."""
+
     def apply(config: dict[str, Any]) -> None:
         for name in path[:-1]:
             config = config[name]
@@ -217,7 +225,7 @@
 
 
 @pytest.mark.parametrize(
-    ("spoil", "reason"),
+    ("corrupt", "reason"),
     [
         (change("discovery", to="nowhere"), "discovery: host:port is needed, not 'nowhere'"),
         (change("listen", to="127.0.0.1:99999"), "listen: host:port is needed"),
@@ -236,12 +244,12 @@
         (change("listen", to="192.0.2.1:6432"), "listen: 192.0.2.1:6432"),
     ],
 )
-def test_a_bad_configuration_ends_it_with_one_line(
-    platform: Platform, spoil: Callable[[dict[str, Any]], None], reason: str
+def test_an_invalid_configuration_ends_the_process_with_one_line(
+    platform: Platform, corrupt: Callable[[dict[str, Any]], None], reason: str
 ) -> None:
     platform.config = json.loads(json.dumps(platform.config))
-    spoil(platform.config)
-    ended = subprocess.run(
+    corrupt(platform.config)
+    finished = subprocess.run(
         [sys.executable, "-m", "banklift.net.service"],
         env=platform.environment(),
         capture_output=True,
@@ -249,16 +257,16 @@
         timeout=60,
         check=False,
     )
-    assert ended.returncode == 2
-    assert reason in ended.stderr and "Traceback" not in ended.stderr
-    assert ended.stderr.count("\n") == 1
+    assert finished.returncode == 2
+    assert reason in finished.stderr and "Traceback" not in finished.stderr
+    assert finished.stderr.count("\n") == 1
 
 
 @pytest.mark.parametrize("variable", ["ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_CONFIG"])
 def test_a_missing_variable_is_named(platform: Platform, variable: str) -> None:
     environment = platform.environment()
     del environment[variable]
-    ended = subprocess.run(
+    finished = subprocess.run(
         [sys.executable, "-m", "banklift.net.service"],
         env=environment,
         capture_output=True,
@@ -266,7 +274,7 @@
         timeout=60,
         check=False,
     )
-    assert (ended.returncode, ended.stderr) == (2, f"banklift: the variable {variable} is not set\n")
+    assert (finished.returncode, finished.stderr) == (2, f"banklift: the variable {variable} is not set\n")
 
 
 @pytest.mark.parametrize(
@@ -279,7 +287,7 @@
         path.unlink()
     else:
         path.write_text(content)
-    ended = subprocess.run(
+    finished = subprocess.run(
         [sys.executable, "-m", "banklift.net.service"],
         env=environment,
         capture_output=True,
@@ -287,9 +295,9 @@
         timeout=60,
         check=False,
     )
-    assert ended.returncode == 2
+    assert finished.returncode == 2
     assert (
-        ended.stderr.startswith(f"banklift: {path}: ")
-        and reason in ended.stderr
-        and ended.stderr.count("\n") == 1
+        finished.stderr.startswith(f"banklift: {path}: ")
+        and reason in finished.stderr
+        and finished.stderr.count("\n") == 1
     )
