--- a/banklift/net/env.py
+++ b/banklift/net/env.py
@@ -109,9 +109,7 @@
             self.env.at(when, lambda: self._expired(when))
 
     def _expired(self, when: float) -> None:
-        if (
-            self.scheduled_for != when
-        ):  # an earlier timer was scheduled since, or this one has expired already
+        if self.scheduled_for != when:  # an earlier timer replaced this one, or this one has expired already
             return
         self.scheduled_for = float("inf")
         if self.due() <= self.env.now():
--- a/banklift/net/fleet.py
+++ b/banklift/net/fleet.py
@@ -46,13 +46,8 @@
         log: Log,
     ) -> None:
         self.env, self.node, self.addresses = env, node, addresses
-        self.save, self.adopt_policy, self.extend_lease, self.on_refused, self.log = (
-            save,
-            adopt_policy,
-            extend_lease,
-            on_refused,
-            log,
-        )
+        self.save, self.log = save, log
+        self.adopt_policy, self.extend_lease, self.on_refused = adopt_policy, extend_lease, on_refused
         self.handles: dict[int, Handle] = {}
         self.dead = False
         self.listener = env.listen(listen, lambda: _LinkPeer(self, 0)) if listen is not None else None
--- a/banklift/net/operator.py
+++ b/banklift/net/operator.py
@@ -27,9 +27,7 @@
 )
 
 CONNECT_TIMEOUT_SECONDS = 1.0  # for a member to accept a connection, and again for its Hello
-MESSAGE_TIMEOUT_SECONDS = (
-    3.0  # a voter that sends no message for this long is given up and the next one is tried
-)
+MESSAGE_TIMEOUT_SECONDS = 3.0  # the next voter is tried if one sends no message for this long
 RETRY_PAUSE_SECONDS = 0.2  # between two tries of all voters
 CONNECTION_ERRORS = (
     OSError,
--- a/banklift/net/sockets.py
+++ b/banklift/net/sockets.py
@@ -54,9 +54,7 @@
 # longest poll for the next event before the task returns to the event loop, which costs a fifth of this time
 BUSY_POLL_SECONDS = 0.0005
 TIME_SLICE_SECONDS = 0.005  # time after which the task that serves the sockets yields to other tasks
-EVENT_LOOP_INTERVAL_SECONDS = (
-    0.05  # time after which the event loop runs with `alone`, should no signal end the wait
-)
+EVENT_LOOP_INTERVAL_SECONDS = 0.05  # with `alone`: longest time between two turns of the event loop
 LINGERING_CLOSE_SECONDS = 0.5  # time for the other end to close a finished connection on which all was sent
 # time for the other end to read the unsent bytes of a finished connection; clients give up on answers earlier
 SLOW_READER_CLOSE_SECONDS = 3.0
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -233,10 +233,8 @@
     site.run(1.0)  # opens links that held requests could use at once
     site.nodes["p"].delay = 5.0
     balancer = site.machine.balancer
-    balancer.members["p"].rate, balancer.pace_time = (
-        0.0,
-        0.01 * balancer.pace_load,
-    )  # a few requests in flight count as many
+    # a few requests in flight count as many
+    balancer.members["p"].rate, balancer.pace_time = 0.0, 0.01 * balancer.pace_load
     before = statements(site)
     all_send()
     site.run(0.02)
@@ -325,15 +323,10 @@
 
     def send(self, router: int, request: int, member: str) -> None:
         super().send(router, request, member)
-        capacity_share = self.part(member)
-        if capacity_share < 1:
+        share = self.part(member)
+        if share < 1:
             self.sent_to_cold += 1
-            allowed = (
-                MODULE_SETTINGS.fall_multiple
-                * capacity_share
-                * test_crowd.CAPACITY
-                * MODULE_SETTINGS.fall_time
-            )
+            allowed = MODULE_SETTINGS.fall_multiple * share * test_crowd.CAPACITY * MODULE_SETTINGS.fall_time
             bound = allowed + 2 * math.sqrt(allowed) + 2
             self.excess = max(self.excess, len(self.sent[member]) - bound)
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -100,9 +100,8 @@
         caller = socket.create_connection((host, int(port)), timeout=10)
         caller.setblocking(False)
         sent = 0
-        while (
-            sent < DISCARD_LIMIT_BYTES - 1
-        ):  # more than one read takes, so closing would send a reset after the answer
+        # more than one read takes, so closing would send a reset after the answer
+        while sent < DISCARD_LIMIT_BYTES - 1:
             try:
                 sent += caller.send(b"x" * min(4096, DISCARD_LIMIT_BYTES - 1 - sent))
             except BlockingIOError:
