--- a/banklift/pg/front.py
+++ b/banklift/pg/front.py
@@ -1,17 +1,29 @@
-"""Clients that speak PostgreSQL's protocol: `Front` of proxy/wire.py.
+"""PostgreSQL connections of clients: implements the protocol `Front` of proxy/wire.py.
 
-Theory of operation. A client starts up, then sends simple queries. Each takes a place in its line; what is a request
-goes to the core at once, so those behind do not wait for those before, but answers go out in the order of the line. At
-most `limits.pipeline` places are open, then the client is read no more until half are gone.
+A client sends a startup message, then simple queries. Each command is appended to the client's queue. A command that is
+a request is submitted to the core at once, so requests of one client run concurrently; answers are sent in the order of
+the commands. With `limits.pipeline` commands pending, a client is no longer read until at most half of them are left.
 
-A client's fault gets an error and reaches no node. A fault in a statement leaves the connection usable, up to `FAULTS`
-of them; after a fault in the framing nothing more can be read, so the error is fatal and the connection is closed. A
-client that is slow to start up, to ask for the first time or to finish a message is closed after `SLOW`: connections
-are scarce. So are those that rest: idle ones go after `idle_timeout` seconds, and the one that has rested longest when
-a new one comes and all places are taken.
+Client faults are answered with an error and never reach a member:
 
-Words to clients. Refused: 53300, and the field D tells after how many milliseconds to come back, if the module says so.
-May have run and must not be repeated: 40003. The client's fault: 08P01, 42601, 22001, 22023, 42710, 0A000.
+- A bad statement leaves the connection usable, up to `MAX_BAD_STATEMENTS` of them; the last one closes the connection.
+- After a framing fault nothing more can be read, so the error is FATAL and the connection is closed.
+
+Connections are scarce, so slow and idle ones are closed:
+
+- A client that doesn't finish its startup, its first query or any message within `READ_TIMEOUT_S` is closed.
+- An idle client is closed after `idle_timeout` seconds, or `BUSY_IDLE_TIMEOUT_S` when many connections are in use.
+- When a new client comes while all connections are in use, the client that has been idle longest is closed for it. If
+  no client is idle, the new one is refused.
+
+SQLSTATEs sent to clients:
+
+| SQLSTATE | meaning |
+| --- | --- |
+| 53300 | refused; field D holds the milliseconds after which to retry, if the module gives a time |
+| 40003 | the request may have run and must not be repeated |
+| 08P01, 42601, 22001, 22023, 42710, 0A000 | the client's fault |
+| 57P05 | the client sent no query, or half a message, for `READ_TIMEOUT_S` |
 """
 
 from __future__ import annotations
@@ -31,18 +43,22 @@
 from banklift.proxy.plan import Limits
 from banklift.proxy.wire import Ask, Failed, Final, Refused, Served
 
-SLOW = 2.0  # seconds for a startup, for a first query, for the rest of a message
-CROWD = 0.5  # of the places for clients: with more of them taken ...
-CROWDED_IDLE_TIMEOUT = 0.3  # ... it is so many seconds only; who asked once and stays holds a place of others
-LOOK = 0.1  # seconds between looks for the slow and the idle
-UNASKED = 1.0  # seconds for which one that has not asked yet is not closed to make room
-# seconds after the word that this router ends in which clients still come: then those that rest go ...
-SOON = 0.4
-LATE = 1.0  # ... one after another, and all of them are gone so many seconds before the end
-FAULTS = 3  # bad statements of one client, with the last of which its connection is closed
-LONGEST = 10  # times its class's deadline: longer than anybody waits
-FUTURE = 1.0  # seconds that a commit may lie ahead of this router's clock
-WELCOME = (
+READ_TIMEOUT_S = 2.0  # time for a startup, for the first query and for the rest of a started message
+# Share of the allowed clients from which on `BUSY_IDLE_TIMEOUT_S` replaces the usual idle timeout.
+BUSY_CLIENTS_SHARE = 0.5
+# A client that sent one query and stays connected takes a connection that others need.
+BUSY_IDLE_TIMEOUT_S = 0.3
+SWEEP_INTERVAL_S = 0.1  # time between checks for slow and idle clients
+# A client that has started up but not sent a query is not closed to make room for another within this time.
+FIRST_QUERY_GRACE_S = 1.0
+# Clients still connect for this long after the shutdown notice; then idle connections are closed one by one.
+DRAIN_CLOSE_DELAY_S = 0.4
+# All idle connections are closed this long before the router ends.
+DRAIN_CLOSE_LEAD_S = 1.0
+MAX_BAD_STATEMENTS = 3  # the client's last bad statement closes its connection
+MAX_DEADLINE_FACTOR = 10  # a longer `d` than this multiple of the deadline of its class is refused
+MAX_COMMIT_AHEAD_S = 1.0  # how far the commit time in `after` may lie ahead of this router's clock
+STARTUP_ANSWER = (
     frames.AUTHENTICATED
     + frames.parameter("server_version", "15.0 (banklift)")
     + frames.parameter("client_encoding", "UTF8")
@@ -52,237 +68,273 @@
     + frames.parameter("standard_conforming_strings", "on")
     + frames.READY
 )
-UNKNOWN = frames.error("40003", "failed: it may have run") + frames.READY
+OUTCOME_UNKNOWN = frames.error("40003", "failed: it may have run") + frames.READY
 
 
 @dataclass(slots=True, eq=False)
-class Place:
-    """One command in a client's line."""
+class PendingCommand:
+    """One command in a client's queue. `answer` is None until it is known."""
 
     answer: bytes | None = None
-    request: int | None = None  # of the core
-    id: bytes | None = None  # as the client named it
+    request_id: int | None = None  # the core's id; None if the command is no request
+    client_request_id: bytes | None = None  # `id` in the statement's comment
 
 
 @dataclass(slots=True, eq=False)
 class Client:
+    """The state of one client's connection."""
+
     id: int
     reader: ClientReader
-    since: float  # when it came, when its last answer went out, or when the message that it is sending began
-    line: deque[Place] = field(default_factory=deque)
-    asked: bool = False
-    faults: int = 0
-    paused: bool = False
-    full: bool = False
-    closing: bool = False  # nothing more is read; closed once the line is empty
-    broken: bool = False  # ... as what it sends can't be read on
+    waiting_since: float  # when it connected, was last answered, or began the message that it is sending
+    queue: deque[PendingCommand] = field(default_factory=deque)
+    has_queried: bool = False
+    bad_statements: int = 0
+    paused: bool = False  # the connection is not read
+    send_buffer_full: bool = False  # the client doesn't read its answers; no new command is begun
+    closing: bool = False  # nothing more is read; the connection is closed once the queue is empty
+    discards_input: bool = False  # after a fatal protocol fault: whatever else it sends is ignored
 
 
 class PgFront:
+    """Serves all PostgreSQL clients of one router.
+
+    `core` takes the requests and calls the methods under "events of the core"; proxy/wire.py describes them.
+    `settings` has the classes and tenants that statements may name, `limits` the highest number of clients and of one
+    client's pending commands. `idle_timeout` is in seconds.
+    """
+
     def __init__(self, core: Machine, settings: io.Settings, limits: Limits, idle_timeout: float) -> None:
         self.core = core
         self.limits = limits
         self.idle_timeout = idle_timeout
-        self.kinds = {kind.name: kind for kind in settings.classes}
+        self.classes = {request_class.name: request_class for request_class in settings.classes}
         self.tenants = {tenant.name for tenant in settings.tenants}
-        self.tokens = settings.client_tokens
+        self.client_tokens = settings.client_tokens
         self.clients: dict[int, Client] = {}
-        self.idle: OrderedDict[int, Client] = OrderedDict()  # with nothing open, the longest idle first
-        self.places: dict[int, tuple[Client, Place]] = {}  # by request
-        self.ids: set[bytes] = set()  # of requests that are open
+        # clients without pending commands, longest idle first
+        self.idle_clients: OrderedDict[int, Client] = OrderedDict()
+        self.pending: dict[int, tuple[Client, PendingCommand]] = {}  # by the core's request id
+        self.pending_ids: set[bytes] = set()  # the clients' ids of pending requests
         self.leaving = False
-        self.looking = False
-        self.hand_back = math.inf  # from when connections that rest are handed back, as this router ends
+        self.sweep_scheduled = False
+        self.drain_close_from = math.inf  # time; from then on idle connections are closed one by one
 
     # ---- events of the core
 
-    def opened(self, client: int) -> None:
+    def opened(self, client_id: int) -> None:
+        """A client connected. At the limit an idle client is closed for it, or the new client gets SQLSTATE 53300."""
         if len(self.clients) >= self.limits.clients:
-            # one that has asked comes again by itself; what one that has only started up may be writing just now would
-            # be lost; those that say nothing at all go first-come, and keep nobody out
-            rested = next(
+            # Close the client that has been idle longest. A client that has sent a query connects again by itself. A
+            # client that has only started up may be writing its first query, which would be lost, so it stays for
+            # FIRST_QUERY_GRACE_S. Clients that sent no byte are closed at once: they must not keep others out.
+            evicted = next(
                 (
-                    state
-                    for state in self.idle.values()
-                    if state.asked
-                    or not (state.reader.started or len(state.reader))
-                    or state.since + UNASKED <= self.core.now
+                    idle_client
+                    for idle_client in self.idle_clients.values()
+                    if idle_client.has_queried
+                    or not (idle_client.reader.started or len(idle_client.reader))
+                    or idle_client.waiting_since + FIRST_QUERY_GRACE_S <= self.core.now
                 ),
                 None,
             )
-            if rested is not None:
-                self._close(rested)
+            if evicted is not None:
+                self._close(evicted)
             else:
                 self.core.actions.append(
-                    ev.ToClient(client, frames.error("53300", "too many connections", severity="FATAL"))
+                    ev.ToClient(client_id, frames.error("53300", "too many connections", severity="FATAL"))
                 )
-                self.core.actions.append(ev.CloseClient(client))
+                self.core.actions.append(ev.CloseClient(client_id))
                 return
-        state = Client(client, ClientReader(TEXT_LIMIT), self.core.now)
-        self.clients[client] = self.idle[client] = state
-        if not self.looking:
-            self.looking = True
-            self.core.at(self.core.now + LOOK, self._look)
-
-    def data(self, client: int, data: bytes) -> None:
-        state = self.clients.get(client)
-        if state is not None and not state.closing:
-            if not len(state.reader) and not state.line:
-                state.since = self.core.now
-            state.reader.feed(data)
-            self._read(state)
-
-    def eof(self, client: int) -> None:
-        state = self.clients.get(client)
-        if state is not None:  # who ends its sending has gone away
-            self._close(state)
-
-    def half_closed(self, client: int) -> None:
-        self.eof(client)  # also where what it sent before is unread: nothing of that has begun
-
-    def lost(self, client: int) -> None:
-        state = self.clients.pop(client, None)
-        if state is not None:
-            self._forget(state)
-
-    def full(self, client: int, is_full: bool) -> None:
-        state = self.clients.get(client)
-        if state is not None:
-            state.full = is_full
+        client = Client(client_id, ClientReader(TEXT_LIMIT), self.core.now)
+        self.clients[client_id] = self.idle_clients[client_id] = client
+        if not self.sweep_scheduled:
+            self.sweep_scheduled = True
+            self.core.at(self.core.now + SWEEP_INTERVAL_S, self._sweep)
+
+    def data(self, client_id: int, data: bytes) -> None:
+        """Bytes came from a client; they are ignored once its connection is closing."""
+        client = self.clients.get(client_id)
+        if client is not None and not client.closing:
+            if not len(client.reader) and not client.queue:
+                client.waiting_since = self.core.now
+            client.reader.feed(data)
+            self._read_commands(client)
+
+    def eof(self, client_id: int) -> None:
+        """A client that ends its sending is taken as gone: it is closed and its requests are abandoned."""
+        client = self.clients.get(client_id)
+        if client is not None:
+            self._close(client)
+
+    def half_closed(self, client_id: int) -> None:
+        """As `eof`. Earlier messages may be unread because the client is paused, but none of them has been begun."""
+        self.eof(client_id)
+
+    def lost(self, client_id: int) -> None:
+        """A client's connection broke: its requests are abandoned."""
+        client = self.clients.pop(client_id, None)
+        if client is not None:
+            self._abandon_commands(client)
+
+    def full(self, client_id: int, is_full: bool) -> None:
+        """The buffer of answers to a client became full, or free again: no new command is begun in between."""
+        client = self.clients.get(client_id)
+        if client is not None:
+            client.send_buffer_full = is_full
             if is_full:
-                self._pause(state)
+                self._pause(client)
             else:
-                self._flush(state)
+                self._flush(client)
 
     def done(self, ask: Ask, final: Final) -> None:
-        found = self.places.pop(ask.ids[0], None) if ask.ids else None
+        """A request ended. Its answer is sent once all earlier commands of its client are answered."""
+        found = self.pending.pop(ask.ids[0], None) if ask.ids else None
         if found is None:
             return
-        state, place = found
-        if place.id is not None:
-            self.ids.discard(place.id)
+        client, command = found
+        if command.client_request_id is not None:
+            self.pending_ids.discard(command.client_request_id)
         match final:
             case Served(answer):
-                place.answer = answer + frames.READY
-            case Refused(wait):
-                place.answer = refusal(wait)
+                command.answer = answer + frames.READY
+            case Refused(retry_after):
+                command.answer = refusal(retry_after)
             case Failed():
-                place.answer = UNKNOWN
-        self._flush(state)
+                command.answer = OUTCOME_UNKNOWN
+        self._flush(client)
 
     def adopt(self, plan: object) -> None:
+        """Never called: on this platform the plan never changes. Errors: `AssertionError`."""
         raise AssertionError("the platform has no policies")
 
     def drain(self) -> None:
-        """This router ends at `core.end`: connections that rest go one after another, so that their clients don't
-        come to the others all at once, nor ask here when there is no time left to answer."""
-        self.hand_back = self.core.now + SOON
+        """This router ends at `core.end` (seconds): close idle connections one after another until then.
+
+        Their clients then don't all connect to the other routers at once, and don't send a query here when there is no
+        time left to answer it.
+        """
+        self.drain_close_from = self.core.now + DRAIN_CLOSE_DELAY_S
 
     def leave(self) -> None:
-        """Connections go as soon as nothing is open on them."""
+        """Close idle connections now, and each other connection as soon as it has no pending command."""
         self.leaving = True
-        for state in list(self.idle.values()):
-            self._close(state)
+        for client in list(self.idle_clients.values()):
+            self._close(client)
 
-    # ---- the line
+    # ---- the queue of pending commands
 
-    def _read(self, state: Client) -> None:
+    def _read_commands(self, client: Client) -> None:
+        """Handle buffered messages up to the limit of pending commands, then send the answers that are due."""
         try:
-            while not state.closing:
-                if len(state.line) >= self.limits.pipeline:
-                    self._write(state)  # what is answered makes room at once
-                if len(state.line) >= self.limits.pipeline or state.full:
-                    self._pause(state)
+            while not client.closing:
+                if len(client.queue) >= self.limits.pipeline:
+                    self._send_answers(client)  # may free places in the queue
+                if len(client.queue) >= self.limits.pipeline or client.send_buffer_full:
+                    self._pause(client)
                     break
-                found = state.reader.next()
-                if found is None:
+                message = client.reader.next()
+                if message is None:
                     break
-                self._message(state, *found)
-        except FrameError as fault:
-            self._fatal(state, "08P01", str(fault))
-        self._flush(state)
-
-    def _pause(self, state: Client) -> None:
-        if not state.paused:
-            state.paused = True
-            self.core.actions.append(ev.PauseClient(state.id))
-
-    def _fatal(self, state: Client, code: str, text: str) -> None:
-        state.line.append(Place(frames.error(code, text, severity="FATAL")))
-        state.closing = state.broken = True
-        self._pause(state)  # whatever else it sends is not even looked at
-
-    def _write(self, state: Client) -> None:
-        """Send the answers that are due."""
-        line, out = state.line, []
-        while line and (answer := line[0].answer) is not None:
-            out.append(answer)
-            line.popleft()
-        if out:
-            self.core.actions.append(ev.ToClient(state.id, out[0] if len(out) == 1 else b"".join(out)))
-            state.since = self.core.now
-        if line:
-            self.idle.pop(state.id, None)
-        elif out:
-            self.idle[state.id] = state
-            self.idle.move_to_end(state.id)
-
-    def _flush(self, state: Client) -> None:
-        """Send the answers that are due; then close it, or read on, if it is time."""
-        if state.id not in self.clients:
+                self._handle_message(client, *message)
+        except FrameError as error:
+            self._fail_connection(client, "08P01", str(error))
+        self._flush(client)
+
+    def _pause(self, client: Client) -> None:
+        """Stop reading the client's connection."""
+        if not client.paused:
+            client.paused = True
+            self.core.actions.append(ev.PauseClient(client.id))
+
+    def _fail_connection(self, client: Client, code: str, text: str) -> None:
+        """Queue a FATAL error with this SQLSTATE, after which the connection is closed and no input is parsed."""
+        client.queue.append(PendingCommand(frames.error(code, text, severity="FATAL")))
+        client.closing = client.discards_input = True
+        self._pause(client)
+
+    def _send_answers(self, client: Client) -> None:
+        """Send the answers at the front of the queue, and update `idle_clients`."""
+        queue, answers = client.queue, []
+        while queue and (answer := queue[0].answer) is not None:
+            answers.append(answer)
+            queue.popleft()
+        if answers:
+            self.core.actions.append(
+                ev.ToClient(client.id, answers[0] if len(answers) == 1 else b"".join(answers))
+            )
+            client.waiting_since = self.core.now
+        if queue:
+            self.idle_clients.pop(client.id, None)
+        elif answers:
+            self.idle_clients[client.id] = client
+            self.idle_clients.move_to_end(client.id)
+
+    def _flush(self, client: Client) -> None:
+        """Send the answers that are due; then close the connection, or read on if enough commands are answered."""
+        if client.id not in self.clients:
             return
-        self._write(state)
-        if state.closing:
-            if not state.line:
-                self._close(state)
+        self._send_answers(client)
+        if client.closing:
+            if not client.queue:
+                self._close(client)
             return
         if (
-            (self.leaving or (state.asked and self.core.now >= self.core.end - LATE))
-            and not state.line
-            and not len(state.reader)
+            (self.leaving or (client.has_queried and self.core.now >= self.core.end - DRAIN_CLOSE_LEAD_S))
+            and not client.queue
+            and not len(client.reader)
         ):
-            self._close(state)
-        elif state.paused and not state.full and len(state.line) <= self.limits.pipeline // 2:
-            state.paused = False
-            self.core.actions.append(ev.ResumeClient(state.id))
-            self._read(state)
-
-    def _close(self, state: Client) -> None:
-        if self.clients.pop(state.id, None) is not None:
-            self._forget(state)
-            self.core.actions.append(ev.CloseClient(state.id, state.broken))
-
-    def _forget(self, state: Client) -> None:
-        state.closing = True
-        self.idle.pop(state.id, None)
-        for place in state.line:
-            if place.request is not None and self.places.pop(place.request, None) is not None:
-                if place.id is not None:
-                    self.ids.discard(place.id)
-                self.core.abandon(place.request)
-        state.line.clear()
-
-    def _look(self) -> None:
-        """Close those that are slow, and those that have rested for long."""
+            self._close(client)
+        elif client.paused and not client.send_buffer_full and len(client.queue) <= self.limits.pipeline // 2:
+            client.paused = False
+            self.core.actions.append(ev.ResumeClient(client.id))
+            self._read_commands(client)
+
+    def _close(self, client: Client) -> None:
+        """Abandon the client's requests and close its connection, unless it is gone already."""
+        if self.clients.pop(client.id, None) is not None:
+            self._abandon_commands(client)
+            self.core.actions.append(ev.CloseClient(client.id, client.discards_input))
+
+    def _abandon_commands(self, client: Client) -> None:
+        """Remove every trace of a client that is gone, and abandon its requests in the core."""
+        client.closing = True
+        self.idle_clients.pop(client.id, None)
+        for command in client.queue:
+            if command.request_id is not None and self.pending.pop(command.request_id, None) is not None:
+                if command.client_request_id is not None:
+                    self.pending_ids.discard(command.client_request_id)
+                self.core.abandon(command.request_id)
+        client.queue.clear()
+
+    def _sweep(self) -> None:
+        """Close slow clients and clients that have been idle for too long; repeated while there are clients."""
         now = self.core.now
         timeout = (
-            self.idle_timeout if len(self.clients) < CROWD * self.limits.clients else CROWDED_IDLE_TIMEOUT
+            self.idle_timeout
+            if len(self.clients) < BUSY_CLIENTS_SHARE * self.limits.clients
+            else BUSY_IDLE_TIMEOUT_S
         )
         if self.core.end < math.inf:
-            timeout = math.inf
-        if now >= self.hand_back:
-            resting = [state for state in self.idle.values() if state.asked and not len(state.reader)]
-            part = LOOK / max(LOOK, self.core.end - LATE - now)
-            for state in resting[: math.ceil(part * len(resting))]:  # the longest idle first
-                self._close(state)
-        for state in list(self.idle.values()):
-            rested = now - state.since
-            if len(state.reader) or not state.asked:
-                if rested >= SLOW:
-                    if state.reader.started:
+            timeout = math.inf  # on shutdown idle connections are closed from `drain_close_from` on instead
+        if now >= self.drain_close_from:
+            idle = [
+                client
+                for client in self.idle_clients.values()
+                if client.has_queried and not len(client.reader)
+            ]
+            # Spread the closing over the sweeps that remain; clients that have been idle longest come first.
+            share = SWEEP_INTERVAL_S / max(SWEEP_INTERVAL_S, self.core.end - DRAIN_CLOSE_LEAD_S - now)
+            for client in idle[: math.ceil(share * len(idle))]:
+                self._close(client)
+        for client in list(self.idle_clients.values()):
+            waited = now - client.waiting_since
+            if len(client.reader) or not client.has_queried:
+                if waited >= READ_TIMEOUT_S:
+                    if client.reader.started:
                         self.core.actions.append(
                             ev.ToClient(
-                                state.id,
+                                client.id,
                                 frames.error(
                                     "57P05",
                                     "nothing asked, or half a message, for too long",
@@ -290,74 +342,81 @@
                                 ),
                             )
                         )
-                    self._close(state)
-            elif rested >= timeout:
-                self._close(state)
-        self.looking = bool(self.clients)
-        if self.looking:
-            self.core.at(now + LOOK, self._look)
+                    self._close(client)
+            elif waited >= timeout:
+                self._close(client)
+        self.sweep_scheduled = bool(self.clients)
+        if self.sweep_scheduled:
+            self.core.at(now + SWEEP_INTERVAL_S, self._sweep)
 
     # ---- messages
 
-    def _message(self, state: Client, kind: bytes, body: bytes) -> None:
-        if kind == b"Q":
-            self._query(state, body)
-        elif kind == b"":
-            self._startup(state, body)
-        elif kind == b"X":
-            self._close(state)
+    def _handle_message(self, client: Client, message_type: bytes, body: bytes) -> None:
+        if message_type == b"Q":
+            self._handle_query(client, body)
+        elif message_type == b"":
+            self._handle_startup(client, body)
+        elif message_type == b"X":
+            self._close(client)
         else:
-            self._fatal(state, "0A000", "simple queries only")
+            self._fail_connection(client, "0A000", "simple queries only")
 
-    def _startup(self, state: Client, body: bytes) -> None:
+    def _handle_startup(self, client: Client, body: bytes) -> None:
+        """Answer a startup message, refuse encryption, or close the connection of a cancel request."""
         version = int.from_bytes(body[:4], "big")
         if version in (frames.SSL_REQUEST, frames.GSSENC_REQUEST):
-            state.line.append(Place(b"N"))
+            client.queue.append(PendingCommand(b"N"))
         elif version == frames.CANCEL_REQUEST:
-            self._close(state)
+            self._close(client)
         elif version >> 16 != 3:
-            self._fatal(state, "0A000", f"unsupported frontend protocol {version >> 16}.{version & 0xFFFF}")
+            self._fail_connection(
+                client, "0A000", f"unsupported frontend protocol {version >> 16}.{version & 0xFFFF}"
+            )
         elif body[-1:] != b"\0" or b"user\0" not in body:
-            self._fatal(state, "08P01", "a startup packet that can't be read")
+            self._fail_connection(client, "08P01", "a startup packet that can't be read")
         else:
-            state.reader.started = True
-            state.line.append(Place(WELCOME))
+            client.reader.started = True
+            client.queue.append(PendingCommand(STARTUP_ANSWER))
 
-    def _query(self, state: Client, body: bytes) -> None:
-        state.asked = True
+    def _handle_query(self, client: Client, body: bytes) -> None:
+        """Queue a query, and submit it to the core if it is a good statement for a known group."""
+        client.has_queried = True
         if body[-1:] != b"\0" or body.find(b"\0") != len(body) - 1:
-            return self._fatal(state, "08P01", "a query that is not one text")
+            return self._fail_connection(client, "08P01", "a query that is not one text")
         text = body[:-1]
         if not text.strip(b" \t\r\n;"):
-            state.line.append(Place(frames.EMPTY + frames.READY))
+            client.queue.append(PendingCommand(frames.EMPTY + frames.READY))
             return
         try:
             statement = parse(text)
-            kind = self._check(statement)
-        except BadStatement as fault:
-            state.faults += 1
-            if state.faults >= FAULTS:
-                return self._fatal(state, fault.code, str(fault))
-            state.line.append(Place(frames.error(fault.code, str(fault)) + frames.READY))
+            request_class = self._validated_class(statement)
+        except BadStatement as error:
+            client.bad_statements += 1
+            if client.bad_statements >= MAX_BAD_STATEMENTS:
+                return self._fail_connection(client, error.code, str(error))
+            client.queue.append(PendingCommand(frames.error(error.code, str(error)) + frames.READY))
             return
         core = self.core
-        if statement.group not in core.balancer.groups:  # the list may come late; nothing has run
-            state.line.append(Place(refusal(core.balancer.settings.max_retry_after)))
+        if (
+            statement.group not in core.balancer.groups
+        ):  # the roster may name it later, so the client may retry
+            client.queue.append(PendingCommand(refusal(core.balancer.settings.max_retry_after)))
             return
-        place = Place(id=statement.id)
-        state.line.append(place)
-        self.idle.pop(state.id, None)
-        self.ids.add(statement.id)
+        command = PendingCommand(client_request_id=statement.id)
+        client.queue.append(command)
+        self.idle_clients.pop(client.id, None)
+        self.pending_ids.add(statement.id)
         arrived = core.now if core.arrived is None else core.arrived
         since = None if statement.after is None else core.now - statement.after / 1000
+        # Without client tokens, the statements of one key form a session.
         session = (
             None
-            if self.tokens or kind.need not in (Need.SESSION, Need.WRITE)
+            if self.client_tokens or request_class.need not in (Need.SESSION, Need.WRITE)
             else int.from_bytes(statement.key)
         )
         ask = Ask(
-            state.id,
-            kind,
+            client.id,
+            request_class,
             statement.group,
             Query(statement),
             tenant=statement.tenant,
@@ -368,42 +427,45 @@
             again=statement.again,
             label=statement.id,
         )
-        # the id is known only once the core took it, and the core may be done by then
-        place.request = core.ids + 1
-        self.places[place.request] = state, place
-        taken = core.submit(ask)
-        assert taken == place.request
-
-    def _check(self, statement: Statement) -> io.RequestClass:
-        """The class of a statement that this router knows to be sound. Errors: `BadStatement`."""
-        kind = self.kinds.get(statement.kind)
-        if kind is None:
+        # `submit` returns the id, but may call `done` before that: the next id is needed in advance.
+        command.request_id = core.ids + 1
+        self.pending[command.request_id] = client, command
+        submitted_id = core.submit(ask)
+        assert submitted_id == command.request_id
+
+    def _validated_class(self, statement: Statement) -> io.RequestClass:
+        """Check a statement against the settings, the clock and the pending requests, and return its class.
+
+        Errors: `BadStatement`.
+        """
+        request_class = self.classes.get(statement.kind)
+        if request_class is None:
             raise BadStatement("22023", f"unknown class {statement.kind!r}")
-        if statement.writes is not (kind.need is Need.WRITE):
+        if statement.writes is not (request_class.need is Need.WRITE):
             raise BadStatement(
-                "22023", f"class {kind.name!r} does not {'write' if statement.writes else 'read'}"
+                "22023", f"class {request_class.name!r} does not {'write' if statement.writes else 'read'}"
             )
         if self.tenants and statement.tenant not in self.tenants:
-            fault = (
+            reason = (
                 "the comment lacks t" if statement.tenant is None else f"unknown tenant {statement.tenant!r}"
             )
-            raise BadStatement("22023", fault)
-        if statement.patience > LONGEST * kind.deadline * 1000:
+            raise BadStatement("22023", reason)
+        if statement.patience > MAX_DEADLINE_FACTOR * request_class.deadline * 1000:
             raise BadStatement("22023", f"d={statement.patience} is longer than anybody waits")
-        if statement.after is not None and statement.after / 1000 > self.core.now + FUTURE:
+        if statement.after is not None and statement.after / 1000 > self.core.now + MAX_COMMIT_AHEAD_S:
             raise BadStatement("22023", f"after={statement.after} is ahead of the clock")
-        if statement.id in self.ids:
+        if statement.id in self.pending_ids:
             raise BadStatement("42710", "the id of a request that is open")
-        return kind
+        return request_class
 
 
-def refusal(wait: float) -> bytes:
-    """`wait`: seconds after which the client may come back; 0: not told."""
+def refusal(retry_after: float) -> bytes:
+    """The answer to a refused request. `retry_after`: seconds until the client may retry; 0 leaves the time out."""
     return (
         frames.error(
             "53300",
             "refused: nothing ran, or a repeat does no harm",
-            str(math.ceil(wait * 1000)) if wait > 0 else "",
+            str(math.ceil(retry_after * 1000)) if retry_after > 0 else "",
         )
         + frames.READY
     )
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -204,7 +204,7 @@
             assert (len(member.flying) if member is not None else 0) == node.open, name
         assert len(self.machine.flying) == sum(node.open for node in self.nodes.values())
         if not self.machine.flying:
-            assert not self.machine.open and not self.front.places and not self.front.ids
+            assert not self.machine.open and not self.front.pending and not self.front.pending_ids
             assert not self.machine.balancer.requests
 
 
