--- a/banklift/pg/wire.py
+++ b/banklift/pg/wire.py
@@ -1,19 +1,26 @@
-"""PostgreSQL's protocol towards nodes: `Wire`, `Exchange` and `Proofs` of proxy/wire.py.
+"""PostgreSQL links to members: implements the protocols `Wire`, `Exchange` and `Proofs` of proxy/wire.py.
 
-Theory of operation. A node tells of itself without being asked: ParameterStatus messages with its answers hold its role
-(`server_role`) and its position or a write's commit (`commit_clock`, Unix milliseconds); `SHOW usage` brings a load
-report. These reach the module as they are. Only two things are kept from it: a position ahead of the clock, which no
-node can have and which would pass for proof for ever, and a report that can't be read.
+A member reports its state without being asked. The ParameterStatus messages of its answers hold:
+
+| parameter | content |
+| --- | --- |
+| `server_role` | `writer` (primary) or `reader` (replica) |
+| `commit_clock` | its position, or a write's commit time, in Unix milliseconds |
+| `usage` | a load report, which is also the answer to `SHOW usage` |
+
+The module gets these values unchanged, with two exceptions. A position more than `MAX_POSITION_AHEAD_S` ahead of the
+clock is dropped: no member can have it, and it would satisfy every staleness check from then on. A load report that
+can't be parsed is dropped too.
 
 How an answer reads as an outcome:
 
-| answer | status | has it run? |
+| answer | status | has the request run? |
 | --- | --- | --- |
 | one row of one column, CommandComplete | OK | yes |
-| 25006, 72000 | MISS | no |
-| 53300 | FULL | no |
-| any other error; a row of another shape, or more than one | ERROR | it may have |
-| no messages, lengths that can't be, half an answer that stands still | the link is lost: RESET | it may have |
+| error 25006 or 72000 | MISS | no |
+| error 53300 | FULL | no |
+| any other error; a row of another shape, or more than one row | ERROR | it may have |
+| unknown message type, impossible length, answer that stays incomplete | RESET (the link is lost) | it may have |
 """
 
 from __future__ import annotations
@@ -24,33 +31,37 @@
 from banklift import interface as io
 from banklift.interface import Status
 from banklift.pg import frames
-from banklift.pg.frames import FrameError, NodeReader
+from banklift.pg.frames import FrameError, MemberReader
 from banklift.pg.statement import VALUE_LIMIT, Statement
 from banklift.proxy.machine import Attempt, Machine, Node
 from banklift.proxy.wire import Ask, BrokenFrame, Judged, Question, Result, Served, Told
 
 ANSWER_LIMIT = VALUE_LIMIT + 16 * 1024  # bytes of one answer with all its messages
-USAGE = frames.query(b"SHOW usage")
-AHEAD = 0.05  # seconds that a position may be ahead of this router's clock
-REST = 0.002  # seconds; what is sent right behind an answer has come by then
-WHOLE = 0.15  # seconds; an answer is small and leaves its node in one piece, so what stands still is spoilt
-MISSES, FULL, NO_PRIMARY = ("25006", "72000"), "53300", "25006"
-SPOILT = Result(Status.ERROR, closes=True)
+USAGE = frames.query(b"SHOW usage")  # the probe
+MAX_POSITION_AHEAD_S = 0.05  # how far a position may be ahead of this router's clock
+# Time for which a link stays unused after an answer: unexpected bytes sent right behind the answer arrive within it.
+LINK_REST_S = 0.002
+# A member sends its small answer in one piece, so an answer that is still incomplete after this time is malformed.
+ANSWER_COMPLETION_TIMEOUT_S = 0.15
+MISS_SQLSTATES, FULL_SQLSTATE, NOT_PRIMARY_SQLSTATE = ("25006", "72000"), "53300", "25006"
+MALFORMED = Result(Status.ERROR, closes=True)  # an answer of the wrong shape; its link carries nothing more
 
 
 class AnswerReader:
-    """A `NodeReader` whose error is the core's."""
+    """A `MemberReader` that raises the core's `BrokenFrame` in place of `FrameError`."""
 
     __slots__ = ("_reader",)
 
     def __init__(self) -> None:
-        self._reader = NodeReader(ANSWER_LIMIT)
+        self._reader = MemberReader(ANSWER_LIMIT)
 
     @property
     def clean(self) -> bool:
+        """Whether no bytes of an incomplete or unreadable answer are left over."""
         return self._reader.clean
 
     def feed(self, data: bytes) -> list[bytes]:
+        """The answers that `data` completes. Errors: `BrokenFrame` if the stream can't be read any further."""
         try:
             return self._reader.feed(data)
         except FrameError as error:
@@ -59,130 +70,157 @@
 
 @dataclass(frozen=True, slots=True)
 class PgWire:
-    """`user`, `database`: what links tell nodes."""
+    """PostgreSQL as the protocol of links. `user` and `database` go into each link's startup message."""
 
     user: str = "backend"
     database: str = "store"
 
     def reader(self) -> AnswerReader:
+        """A reader for one link's answers."""
         return AnswerReader()
 
     def greeting(self, flavour: int) -> tuple[bytes, int]:
+        """The startup message, which one frame answers."""
         return frames.startup(self.user, self.database), 1
 
     def greeted(self, frame: bytes) -> bool:
+        """Whether the answer to the startup begins with an authentication message and ends with ReadyForQuery."""
         return frame[:1] == b"R" and frame[-6:-1] == frames.READY[:-1]
 
     def aside(self, frame: bytes) -> bool:
+        """Always false: every frame answers a query."""
         return False
 
     def probe(self) -> bytes:
+        """The query for a load report."""
         return USAGE
 
     @property
     def probes_apart(self) -> bool:
-        return False  # nodes hold few connections, and one more for each router's probes is half of them
+        """False: members allow few connections, and a further one per router for probes would be half of them."""
+        return False
 
     @property
     def probes_in_line(self) -> bool:
+        """False: a link takes the next probe only after it has answered the last one."""
         return False
 
     @property
     def rest(self) -> float:
-        return REST
+        """Seconds for which a link stays unused after an answer."""
+        return LINK_REST_S
 
     @property
     def whole_within(self) -> float:
-        return WHOLE
+        """Seconds from an answer's first byte to its last; a link that takes longer is lost."""
+        return ANSWER_COMPLETION_TIMEOUT_S
 
     def proofs(self, core: Machine, groups: int) -> PgProofs:
+        """What members report about themselves, for this core."""
         return PgProofs(core)
 
 
 @dataclass(frozen=True, slots=True)
 class Query:
-    """One statement."""
+    """One client's statement as a member gets it."""
 
     statement: Statement
 
     @property
     def flavour(self) -> int:
+        """Always 0: any link carries any statement."""
         return 0
 
     def payload(self, question: Question, left: float = 0.0) -> bytes:
+        """The query to send. `left`: seconds for which the router will wait; they replace the client's `d`."""
         return frames.query(self.statement.text(max(1, int(left * 1000))))
 
     def frames(self, question: Question) -> int:
+        """Always 1: a whole answer is one frame."""
         return 1
 
     def read(self, frames: list[bytes], question: Question) -> Result | None:
+        """The meaning of the answer."""
         return read_answer(frames[0])
 
     def cut(self, frames: list[bytes], question: Question) -> Result | None:
+        """Always None: an incomplete answer is never used."""
         return None
 
 
 def read_answer(frame: bytes) -> Result:
-    """What a whole answer means."""
-    described = row = done = failure = None
-    primary: bool | None = None
+    """The outcome of a whole answer, and what it reports about its member."""
+    description = row = completed = error_body = None
+    is_primary: bool | None = None
     position: float | None = None
     report: io.Report | None = None
-    start = end = 0
-    for kind, pos, stop in frames.messages(frame):
-        if kind == 83:  # S
+    answer_start = answer_end = 0
+    for message_type, start, end in frames.split_messages(frame):
+        if message_type == 83:  # S: ParameterStatus
             try:
-                name, value = frames.pair_of(frame[pos + 5 : stop])
+                name, value = frames.parse_parameter_status(frame[start + 5 : end])
             except FrameError:
                 continue
             if name == "server_role":
-                primary = {"writer": True, "reader": False}.get(value, primary)
+                is_primary = {"writer": True, "reader": False}.get(value, is_primary)
             elif name == "commit_clock":
-                position = _milliseconds(value)
+                position = _position_seconds(value)
             elif name == "usage":
                 report = parse_usage(value)
-        elif kind == 84:  # T
-            if described is not None or failure is not None:
-                return SPOILT
-            described, start = frame[pos + 5 : stop], pos
-        elif kind == 68:  # D
-            if described is None or row is not None or pos != start + 5 + len(described):
-                return SPOILT
-            row, end = frame[pos + 5 : stop], stop
-        elif kind == 67:  # C
-            if row is None or done is not None or pos != end or stop - pos < 6 or frame[stop - 1]:
-                return SPOILT
-            done, end = True, stop
-        elif kind == 69:  # E
-            if failure is not None:
-                return SPOILT
-            failure = frame[pos + 5 : stop]
-        elif kind in (73, 75, 82):  # I, K, R: nothing that a statement is answered with
-            return SPOILT
-    told = Told(primary, position, report)
-    if failure is not None:
+        elif message_type == 84:  # T: RowDescription
+            if description is not None or error_body is not None:
+                return MALFORMED
+            description, answer_start = frame[start + 5 : end], start
+        elif message_type == 68:  # D: DataRow
+            if description is None or row is not None or start != answer_start + 5 + len(description):
+                return MALFORMED
+            row, answer_end = frame[start + 5 : end], end
+        elif message_type == 67:  # C: CommandComplete
+            if (
+                row is None
+                or completed is not None
+                or start != answer_end
+                or end - start < 6
+                or frame[end - 1]
+            ):
+                return MALFORMED
+            completed, answer_end = True, end
+        elif message_type == 69:  # E: ErrorResponse
+            if error_body is not None:
+                return MALFORMED
+            error_body = frame[start + 5 : end]
+        elif message_type in (73, 75, 82):  # I, K, R: never part of a statement's answer
+            return MALFORMED
+    state = Told(is_primary, position, report)
+    if error_body is not None:
         try:
-            fields = frames.fields_of(failure)
+            fields = frames.error_fields(error_body)
         except FrameError:
-            return SPOILT
-        code, closes = fields.get("C", ""), fields.get("V") == "FATAL" or described is not None
+            return MALFORMED
+        code, closes = fields.get("C", ""), fields.get("V") == "FATAL" or description is not None
         status = Status.ERROR
-        if described is None:
-            status = Status.MISS if code in MISSES else Status.FULL if code == FULL else Status.ERROR
-            if code == NO_PRIMARY and primary is None:
-                told = Told(False, position, report)
-        return Result(status, told=told, closes=closes)
-    if not done or described is None or row is None:
-        return SPOILT
+        if description is None:
+            status = (
+                Status.MISS
+                if code in MISS_SQLSTATES
+                else Status.FULL
+                if code == FULL_SQLSTATE
+                else Status.ERROR
+            )
+            if code == NOT_PRIMARY_SQLSTATE and is_primary is None:
+                state = Told(False, position, report)
+        return Result(status, told=state, closes=closes)
+    if not completed or description is None or row is None:
+        return MALFORMED
     try:
-        frames.column_of(described, row)
+        frames.single_value(description, row)
     except FrameError:
-        return SPOILT
-    return Result(Status.OK, frame[start:end], told=told)
+        return MALFORMED
+    return Result(Status.OK, frame[answer_start:answer_end], told=state)
 
 
-def _milliseconds(value: str) -> float | None:
-    """A position in Unix milliseconds as seconds; None if it is no number."""
+def _position_seconds(value: str) -> float | None:
+    """A position in Unix milliseconds as Unix seconds; None if `value` is not a finite number above 0."""
     try:
         number = float(value)
     except ValueError:
@@ -191,7 +229,7 @@
 
 
 def parse_usage(value: str) -> io.Report | None:
-    """A load report `name=number,...`; None if it can't be read. Position: Unix seconds."""
+    """Parse a load report `name=number,...`, whose position is in Unix seconds; None if it can't be parsed."""
     figures: dict[str, float] = {}
     for part in value.split(","):
         name, _, text = part.partition("=")
@@ -201,7 +239,7 @@
             return None
         if not math.isfinite(figures[name]) or figures[name] < 0:
             return None
-    # the settings name the fields (`feedback.fields`), in words of their own; the protocol's example has others
+    # The settings name the fields (`feedback.fields`); the protocol's example uses other names, so both are accepted.
     return io.Report(
         position=figures.get("x0"),
         primary=bool(figures["x1"]) if "x1" in figures else None,
@@ -211,68 +249,86 @@
 
 
 def read_usage(frame: bytes) -> io.Report | None:
-    """The load report of an answer to `SHOW usage`; None if there is none."""
-    described = row = None
-    for kind, pos, stop in frames.messages(frame):
-        if kind == 84:
-            described = frame[pos + 5 : stop]
-        elif kind == 68:
-            row = frame[pos + 5 : stop]
-    if described is None or row is None:
+    """The load report in an answer to `SHOW usage`; None if there is none or it can't be parsed."""
+    description = row = None
+    for message_type, start, end in frames.split_messages(frame):
+        if message_type == 84:  # T: RowDescription
+            description = frame[start + 5 : end]
+        elif message_type == 68:  # D: DataRow
+            row = frame[start + 5 : end]
+    if description is None or row is None:
         return None
     try:
-        return parse_usage(frames.column_of(described, row).decode("ascii"))
+        return parse_usage(frames.single_value(description, row).decode("ascii"))
     except (FrameError, UnicodeDecodeError):
         return None
 
 
 class PgProofs:
+    """Passes on what members report with their answers and probes, without positions ahead of the clock."""
+
     def __init__(self, core: Machine) -> None:
         self.core = core
 
     def lore(self) -> object:
+        """None: nothing is kept per member."""
         return None
 
     def since_write(self, ask: Ask, now: float) -> float | None:
+        """Seconds since the commit that a session's read must see, from its client's own position."""
         return ask.since
 
     def question(self, attempt: Attempt, fresh: bool) -> Question:
+        """Always NONE: members report their state without being asked."""
         return Question.NONE
 
     def judge(self, attempt: Attempt, result: Result) -> Judged:
-        told = result.told or Told()
-        position = told.position
-        if position is not None and position > self.core.now + AHEAD:
+        """The outcome of an attempt; only an answer with status OK is served."""
+        state = result.told or Told()
+        position = state.position
+        if position is not None and position > self.core.now + MAX_POSITION_AHEAD_S:
             position = None
-        told = Told(told.primary, position, self._sound(told.report))
-        return Judged(result.status, told, Served(result.answer) if result.status is Status.OK else None)
-
-    def _sound(self, report: io.Report | None) -> io.Report | None:
-        if report is None or report.position is None or report.position <= self.core.now + AHEAD:
+        state = Told(state.primary, position, self._without_future_position(state.report))
+        return Judged(result.status, state, Served(result.answer) if result.status is Status.OK else None)
+
+    def _without_future_position(self, report: io.Report | None) -> io.Report | None:
+        """The report, without its position if that is ahead of the clock."""
+        if (
+            report is None
+            or report.position is None
+            or report.position <= self.core.now + MAX_POSITION_AHEAD_S
+        ):
             return report
         return io.Report(None, report.primary, report.in_flight, report.queued, None)
 
     def cut(self, attempt: Attempt, result: Result) -> Served:
+        """Never called, as `Query.cut` gives no result. Errors: `AssertionError`."""
         raise AssertionError("nothing is served that was cut")
 
     def early(self, attempt: Attempt) -> None:
+        """Nothing to do: an answer is one frame."""
         return
 
     def probing(self, node: Node) -> None:
+        """Nothing to do before a probe."""
         return
 
     def probed(self, node: Node, asked: float, frame: bytes) -> None:
-        if any(kind == 69 for kind, _, _ in frames.messages(frame)):  # E: it lives, and has been asked enough
+        """A probe sent at `asked` (seconds) was answered: report its figures, or a failed probe if there are none."""
+        # An ErrorResponse (E) shows that the member is alive; it refuses probes that come too often.
+        if any(message_type == 69 for message_type, _, _ in frames.split_messages(frame)):
             self.core.report(node, asked, None)
             return
-        report = self._sound(read_usage(frame))
+        report = self._without_future_position(read_usage(frame))
         if report is None:
             self.core.probe_failed(node, asked)
         else:
             self.core.report(node, asked, report)
 
     def probes_failed(self, node: Node) -> None:
+        """Nothing to do: the module knows of the failure."""
         return
 
     def forget(self, node: Node) -> None:
+        """Nothing to do: nothing is kept per member."""
         return
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -211,10 +211,10 @@
 def code(told: list[tuple[str, bytes]]) -> str:
     """The SQLSTATE of the one error among the messages."""
     (body,) = [body for kind, body in told if kind == "E"]
-    return frames.fields_of(body)["C"]
+    return frames.error_fields(body)["C"]
 
 
 def value(told: list[tuple[str, bytes]]) -> bytes:
     """The value of a whole answer."""
     assert [kind for kind, _ in told] == ["T", "D", "C", "Z"], told
-    return frames.column_of(told[0][1], told[1][1])
+    return frames.single_value(told[0][1], told[1][1])
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -266,7 +266,7 @@
     for node in site.nodes.values():
         node.stop()
     (told,) = [body for kind, body in Caller(site).ask(site.write(), 1.5) if kind == "E"]
-    fields = frames.fields_of(told)
+    fields = frames.error_fields(told)
     assert (fields["C"], fields["D"]) == ("53300", "1000")
 
 
@@ -362,7 +362,7 @@
     site.run(0.2)
     told = caller.told()
     assert [kind for kind, _ in told] == ["T", "D", "C", "Z"] * 2
-    assert frames.column_of(told[4][1], told[5][1]) == b"\x02"  # its own answer
+    assert frames.single_value(told[4][1], told[5][1]) == b"\x02"  # its own answer
     site.balanced()
 
 
