--- a/banklift/pg/__init__.py
+++ b/banklift/pg/__init__.py
@@ -1,1 +1,1 @@
-"""PostgreSQL's wire protocol, version 3, simple queries: codec, statements, clients' side, nodes' side."""
+"""PostgreSQL's wire protocol, version 3, with simple queries: codec, statements, links to clients and to members."""
--- a/banklift/pg/front.py
+++ b/banklift/pg/front.py
@@ -407,7 +407,7 @@
         self.idle_clients.pop(client.id, None)
         self.pending_ids.add(statement.id)
         arrived = core.now if core.arrived is None else core.arrived
-        since = None if statement.after is None else core.now - statement.after / 1000
+        since = None if statement.after_ms is None else core.now - statement.after_ms / 1000
         # Without client tokens, the statements of one key form a session.
         session = (
             None
@@ -421,10 +421,10 @@
             Query(statement),
             tenant=statement.tenant,
             arrived=arrived,
-            deadline=arrived + statement.patience / 1000 - self.limits.margin,
+            deadline=arrived + statement.client_timeout_ms / 1000 - self.limits.margin,
             since=since,
             session=session,
-            again=statement.again,
+            again=statement.is_retry,
             label=statement.id,
         )
         # `submit` returns the id, but may call `done` before that: the next id is needed in advance.
@@ -438,9 +438,9 @@
 
         Errors: `BadStatement`.
         """
-        request_class = self.classes.get(statement.kind)
+        request_class = self.classes.get(statement.class_name)
         if request_class is None:
-            raise BadStatement("22023", f"unknown class {statement.kind!r}")
+            raise BadStatement("22023", f"unknown class {statement.class_name!r}")
         if statement.writes is not (request_class.need is Need.WRITE):
             raise BadStatement(
                 "22023", f"class {request_class.name!r} does not {'write' if statement.writes else 'read'}"
@@ -450,10 +450,10 @@
                 "the comment lacks t" if statement.tenant is None else f"unknown tenant {statement.tenant!r}"
             )
             raise BadStatement("22023", reason)
-        if statement.patience > MAX_DEADLINE_FACTOR * request_class.deadline * 1000:
-            raise BadStatement("22023", f"d={statement.patience} is longer than anybody waits")
-        if statement.after is not None and statement.after / 1000 > self.core.now + MAX_COMMIT_AHEAD_S:
-            raise BadStatement("22023", f"after={statement.after} is ahead of the clock")
+        if statement.client_timeout_ms > MAX_DEADLINE_FACTOR * request_class.deadline * 1000:
+            raise BadStatement("22023", f"d={statement.client_timeout_ms} is longer than anybody waits")
+        if statement.after_ms is not None and statement.after_ms / 1000 > self.core.now + MAX_COMMIT_AHEAD_S:
+            raise BadStatement("22023", f"after={statement.after_ms} is ahead of the clock")
         if statement.id in self.pending_ids:
             raise BadStatement("42710", "the id of a request that is open")
         return request_class
--- a/banklift/pg/statement.py
+++ b/banklift/pg/statement.py
@@ -1,11 +1,21 @@
-"""The two statements that clients may send, and the comment that tells a router about them.
+"""Parser of the two statements that clients may send, and of the comment that describes the request to the router.
 
     SELECT content FROM kv WHERE name = 'KEY' /* id=...,c=CLASS,t=TENANT,d=MS,cluster=GROUP,after=MS */
     INSERT INTO kv (name, content) VALUES ('KEY', '\\xHEX') RETURNING content /* ... */
 
-Read strictly: what is passed on must be what a node takes, and what a client sends in error must reach no node. Source
-of the form and of the names in the comment: the platform's page on its protocol. The names of classes and tenants are
-the settings' own, so any printable text may be one; where there are no tenants, `t` is absent.
+| name | value |
+| --- | --- |
+| `id` | the client's id of the request |
+| `c` | name of its class |
+| `t` | name of its tenant; absent if the settings have no tenants |
+| `d` | milliseconds for which the client waits |
+| `cluster` | number of its group |
+| `after` | optional: commit time, in Unix milliseconds, that a read must see |
+| `r` | optional: 1 on a retry |
+
+Pairs of other names are passed on and otherwise ignored. Parsing is strict: a statement that is passed on must be valid
+for a member, and an invalid one must reach no member. Any printable text may name a class or a tenant, as the settings
+choose the names. Source of the statements and the names in the comment: the platform's page on its protocol.
 """
 
 from __future__ import annotations
@@ -24,11 +34,11 @@
 )
 _PAIR = re.compile(rb"([a-z][a-z0-9_]{0,15})=([0-9A-Za-z_.:-]{1,128})|(c|t)=([!-)+-~]{1,128})")
 _NUMBER = re.compile(rb"[0-9]{1,15}")
-_PATIENCE = re.compile(rb"(/\* |,)d=[0-9]+(?=,| )")
+_CLIENT_TIMEOUT = re.compile(rb"(/\* |,)d=[0-9]+(?=,| )")
 
 
 class BadStatement(Exception):
-    """A statement that is none of the two; the text names the fault, `code` is its SQLSTATE."""
+    """A statement that the router doesn't accept. The text names the fault; `code` is its SQLSTATE."""
 
     def __init__(self, code: str, text: str) -> None:
         super().__init__(text)
@@ -37,33 +47,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Statement:
+    """A valid statement and what its comment says about the request."""
+
     writes: bool
     key: bytes
-    id: bytes
-    kind: str
+    id: bytes  # as the client named the request
+    class_name: str
     tenant: str | None
-    patience: int  # milliseconds
+    client_timeout_ms: int  # how long the client waits for the answer
     group: int
-    after: int | None  # position in Unix milliseconds
-    again: bool  # its client has tried it before
-    before: bytes  # the text up to the figure of `d` ...
-    behind: bytes  # ... and from there on
+    after_ms: int | None  # commit time that a read must see, in Unix milliseconds
+    is_retry: bool  # the client has sent the request before
+    before_timeout: bytes  # the text up to the value of `d`
+    after_timeout: bytes  # the text behind the value of `d`
 
-    def text(self, patience: int) -> bytes:
-        """The statement as it came, but for how long its sender will wait (milliseconds)."""
-        return b"%b%d%b" % (self.before, patience, self.behind)
+    def text(self, timeout_ms: int) -> bytes:
+        """The statement as it came, with another value of `d`: milliseconds for which its sender waits."""
+        return b"%b%d%b" % (self.before_timeout, timeout_ms, self.after_timeout)
 
 
 def parse(text: bytes) -> Statement:
-    """Errors: `BadStatement`."""
+    """Parse the text of a simple query. Errors: `BadStatement` with SQLSTATE 42601, 22001 or 22023."""
     writes = text[:1] == b"I"
-    found = (_INSERT if writes else _SELECT).fullmatch(text)
-    if found is None:
+    match = (_INSERT if writes else _SELECT).fullmatch(text)
+    if match is None:
         raise BadStatement("42601", "neither of the two statements that this router carries")
-    if writes and len(found[2]) > 2 * VALUE_LIMIT:
+    if writes and len(match[2]) > 2 * VALUE_LIMIT:
         raise BadStatement("22001", f"a value of more than {VALUE_LIMIT} bytes")
     pairs: dict[bytes, bytes] = {}
-    for part in found[found.re.groups].split(b","):
+    for part in match[match.re.groups].split(b","):
         pair = _PAIR.fullmatch(part)
         if pair is None:
             raise BadStatement("42601", "a comment that is not names and values")
@@ -74,12 +86,12 @@
     for name in (b"id", b"c", b"d", b"cluster"):
         if name not in pairs:
             raise BadStatement("22023", f"the comment lacks {name.decode()}")
-    place = _PATIENCE.search(text, found.start(found.re.groups) - 3)
-    if place is None:
+    timeout = _CLIENT_TIMEOUT.search(text, match.start(match.re.groups) - 3)
+    if timeout is None:
         raise BadStatement("22023", "d must be a whole number of milliseconds")
     return Statement(
         writes,
-        found[1],
+        match[1],
         pairs[b"id"],
         pairs[b"c"].decode(),
         pairs[b"t"].decode() if b"t" in pairs else None,
@@ -87,12 +99,13 @@
         _number(pairs, b"cluster"),
         _number(pairs, b"after") if b"after" in pairs else None,
         pairs.get(b"r") == b"1",
-        text[: place.end(1) + 2],
-        text[place.end() :],
+        text[: timeout.end(1) + 2],
+        text[timeout.end() :],
     )
 
 
 def _number(pairs: dict[bytes, bytes], name: bytes) -> int:
+    """The value of a pair as an integer of at most 15 digits. Errors: `BadStatement`."""
     if not _NUMBER.fullmatch(pairs[name]):
         raise BadStatement("22023", f"{name.decode()} must be a whole number, not {pairs[name].decode()!r}")
     return int(pairs[name])
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -672,7 +672,7 @@
         except BadStatement:
             continue
         passed = re.sub(rb"(?<=[ ,])d=0*(?=[0-9])", b"d=", bytes(text))
-        assert statement.text(statement.patience) == passed
+        assert statement.text(statement.client_timeout_ms) == passed
 
 
 def test_a_client_of_random_bytes_harms_nobody() -> None:
