--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -1,4 +1,4 @@
-"""A router on the platform with stand-ins for all that it meets, in virtual time."""
+"""One router with the PostgreSQL protocol, emulated members and catalogue, and test clients, in virtual time."""
 
 from __future__ import annotations
 
@@ -83,11 +83,11 @@
 
 
 class Caller(Peer):
-    """A client's connection: what it was told, message by message."""
+    """One client's connection. It sends its startup message at once, unless `start` is false."""
 
     def __init__(self, site: Site, start: bool = True) -> None:
         self.site = site
-        self.data_in = b""
+        self.received = b""
         self.ended = False
         self.handle: Handle = site.world.connect(site.host.address, self)
         if start:
@@ -98,7 +98,7 @@
         pass
 
     def data(self, data: bytes) -> None:
-        self.data_in += data
+        self.received += data
 
     def eof(self) -> None:
         self.ended = True
@@ -107,27 +107,33 @@
         self.ended = True
 
     def say(self, data: bytes, wait: float = 0.01) -> None:
+        """Send bytes, then let `wait` seconds pass."""
         self.site.run(0.001)
         self.handle.send(data)
         self.site.run(wait)
 
     def told(self) -> list[tuple[str, bytes]]:
-        """The messages since the last call, by type and body."""
-        data, self.data_in = self.data_in, b""
-        found, pos = [], 0
+        """Type and body of each message received since the last call."""
+        data, self.received = self.received, b""
+        messages, pos = [], 0
         while pos < len(data):
             (length,) = struct.unpack_from("!I", data, pos + 1)
-            found.append((chr(data[pos]), data[pos + 5 : pos + 1 + length]))
+            messages.append((chr(data[pos]), data[pos + 5 : pos + 1 + length]))
             pos += 1 + length
-        return found
+        return messages
 
     def ask(self, text: str, wait: float = 0.01) -> list[tuple[str, bytes]]:
+        """Send a query, and return the messages received within `wait` seconds."""
         self.say(frames.query(text.encode()), wait)
         return self.told()
 
 
 class Site:
-    """One group: a primary p and two replicas r1, r2; one router."""
+    """One router and one group: the primary p and the replicas r1 and r2.
+
+    `sockets`: descriptors that the router may use. `delay`: seconds in which a member answers. `world`: network and
+    clock, if they are shared or special. `settings`: as the platform sends them.
+    """
 
     def __init__(
         self,
@@ -140,8 +146,8 @@
         self.ids = 0
         store: dict[bytes, bytes] = {}
         self.nodes = {
-            name: PgNode(self.world, f"10.0.0.{place}:6432", name == "p", delay, store).start()
-            for place, name in enumerate(("p", "r1", "r2"), 1)
+            name: PgNode(self.world, f"10.0.0.{number}:6432", name == "p", delay, store).start()
+            for number, name in enumerate(("p", "r1", "r2"), 1)
         }
         self.catalogue = Catalogue(self.world, "10.9.0.1:8500").start()
         for name, node in self.nodes.items():
@@ -171,34 +177,39 @@
         self.notes.append((event, fields))
 
     def run(self, seconds: float) -> None:
+        """Let virtual time pass."""
         self.world.run(self.world.now() + seconds)
 
     def comment(self, kind: str, patience: int = 2000, **more: object) -> str:
+        """A statement's comment. `kind`: the class's name; `patience`: milliseconds; `more`: further pairs."""
         self.ids += 1
-        rest = "".join(
+        other_pairs = "".join(
             f",{name}={value}" for name, value in more.items() if name not in ("id", "cluster", "t")
         )
         return (
             f"/* id={more.get('id', f'{self.ids:016x}')},c={kind},t={more.get('t', 'acme')},d={patience},"
-            f"cluster={more.get('cluster', 0)}{rest} */"
+            f"cluster={more.get('cluster', 0)}{other_pairs} */"
         )
 
     def read(self, kind: str = "view", key: str = "k", patience: int = 2000, **more: object) -> str:
+        """The text of a read; see `comment`."""
         return f"SELECT content FROM kv WHERE name = '{key}' {self.comment(kind, patience, **more)}"
 
     def write(
         self, key: str = "k", value: str = "9f03", kind: str = "save", patience: int = 2000, **more: object
     ) -> str:
+        """The text of a write of `value` (hexadecimal digits); see `comment`."""
         return (
             f"INSERT INTO kv (name, content) VALUES ('{key}', '\\x{value}') RETURNING content "
             f"{self.comment(kind, patience, **more)}"
         )
 
     def run_later(self, seconds: float, call: Callable[[], None]) -> None:
+        """Call `call` after so many seconds of virtual time."""
         self.world.at(self.world.now() + seconds, call)
 
     def balanced(self) -> None:
-        """What the router believes to be out there is what the nodes hold, and it has forgotten the rest."""
+        """Check that the router's attempts in flight are those that members hold, and that no ended request is kept."""
         for name, node in self.nodes.items():
             member = self.machine.balancer.members.get(name)
             assert (len(member.flying) if member is not None else 0) == node.open, name
@@ -209,12 +220,12 @@
 
 
 def code(told: list[tuple[str, bytes]]) -> str:
-    """The SQLSTATE of the one error among the messages."""
+    """The SQLSTATE of the only error among the messages."""
     (body,) = [body for kind, body in told if kind == "E"]
     return frames.error_fields(body)["C"]
 
 
 def value(told: list[tuple[str, bytes]]) -> bytes:
-    """The value of a whole answer."""
+    """The value in the messages of one successful answer."""
     assert [kind for kind, _ in told] == ["T", "D", "C", "Z"], told
     return frames.single_value(told[0][1], told[1][1])
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The router on the platform: clients, nodes and discovery, with the troubles that each of them makes."""
+"""The router with the PostgreSQL protocol: faults of clients, members and discovery, and its shutdown."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     site.balanced()
 
 
-def test_a_statement_passes_unchanged_but_for_how_long_its_sender_waits() -> None:
+def test_a_statement_is_forwarded_unchanged_except_for_its_remaining_time() -> None:
     site = Site()
     text = site.write("k", "9f03", patience=1500)
     Caller(site).ask(text)
@@ -41,7 +41,7 @@
     assert 1400 < left <= 1495
 
 
-def test_every_byte_may_come_alone() -> None:
+def test_messages_may_arrive_byte_by_byte() -> None:
     site = Site()
     caller = Caller(site, start=False)
     for byte in frames.startup("backend", "store") + frames.query(site.write().encode()):
@@ -50,12 +50,12 @@
     assert [kind for kind, _ in caller.told()][-4:] == ["T", "D", "C", "Z"]
 
 
-def test_a_query_right_behind_the_startup_and_the_refusal_of_encryption() -> None:
+def test_encryption_is_refused_and_a_query_may_follow_the_startup_at_once() -> None:
     site = Site()
     caller = Caller(site, start=False)
     caller.say(b"\0\0\0\x08\x04\xd2\x16\x2f")  # SSLRequest
-    assert caller.data_in == b"N"
-    caller.data_in = b""
+    assert caller.received == b"N"
+    caller.received = b""
     caller.say(frames.startup("backend", "store") + frames.query(site.write().encode()))
     assert [kind for kind, _ in caller.told()][-4:] == ["T", "D", "C", "Z"]
 
@@ -74,20 +74,20 @@
 def test_answers_go_out_in_the_order_of_the_commands() -> None:
     site = Site(delay=0.02)
     caller = Caller(site)
-    site.nodes["p"].answers.append(lambda node, statement: None)  # the first write stays silent
+    site.nodes["p"].answers.append(lambda node, statement: None)  # the primary never answers the first write
     first, second = site.write("a", "01"), site.read("any", "b")
     caller.say(frames.query(first.encode()) + frames.query(second.encode()) + frames.query(b""), 0.3)
-    assert caller.told() == []  # the read was answered long ago
+    assert caller.told() == []  # the read is answered, but waits for the write in front of it
     site.run(2.0)
     told = caller.told()
     assert [kind for kind, _ in told] == ["E", "Z", "T", "D", "C", "Z", "I", "Z"]
     assert code(told) == "40003"
 
 
-def test_hundreds_of_commands_at_once_are_read_a_few_at_a_time() -> None:
+def test_at_most_16_pipelined_commands_are_pending_at_once() -> None:
     site = Site(delay=0.02)
     caller = Caller(site)
-    caller.say(b"".join(frames.query(site.read("any", f"k{place}").encode()) for place in range(300)), 0.01)
+    caller.say(b"".join(frames.query(site.read("any", f"k{number}").encode()) for number in range(300)), 0.01)
     assert 0 < len(site.machine.open) <= 16
     site.run(3.0)
     assert len([kind for kind, _ in caller.told() if kind == "Z"]) == 300
@@ -118,19 +118,19 @@
 
 
 @pytest.mark.parametrize(("expected", "text"), BAD_STATEMENTS)
-def test_a_bad_statement_gets_an_error_and_reaches_no_node(
+def test_a_bad_statement_gets_an_error_and_reaches_no_member(
     expected: str, text: Callable[[Site], str]
 ) -> None:
     site = Site()
     caller, other = Caller(site), Caller(site)
     assert code(caller.ask(text(site))) == expected
     assert not any(node.seen for node in site.nodes.values())
-    assert value(caller.ask(site.write()))  # its connection is still good, and so is everybody else's
+    assert value(caller.ask(site.write()))  # this connection and the others are still usable
     assert value(other.ask(site.write()))
     site.balanced()
 
 
-def test_a_client_that_asks_nonsense_again_and_again_is_closed() -> None:
+def test_a_client_is_closed_at_its_third_bad_statement() -> None:
     site = Site()
     caller = Caller(site)
     for _ in range(2):
@@ -139,14 +139,14 @@
     assert caller.ended
 
 
-def test_the_id_of_an_open_request_is_refused_to_another_client() -> None:
+def test_the_id_of_a_pending_request_is_refused_to_another_client() -> None:
     site = Site(delay=0.1)
     first, second = Caller(site), Caller(site)
     first.say(frames.query(site.write("a", "01", id="feed").encode()))
     assert code(second.ask(site.write("b", "02", id="feed"))) == "42710"
     site.run(0.2)
     assert value(first.told()) == b"\x01"
-    assert value(second.ask(site.write("b", "02", id="feed"), 0.2)) == b"\x02"  # it is over
+    assert value(second.ask(site.write("b", "02", id="feed"), 0.2)) == b"\x02"  # the first request has ended
     assert len(site.nodes["p"].seen) == 2
 
 
@@ -159,7 +159,7 @@
         b"GET / HTTP/1.1\r\n\r\n",
         frames.startup("backend", "store") + b"Q\0\0\0\x03",
         frames.startup("backend", "store") + b"Q\xff\xff\xff\xff",
-        frames.startup("backend", "store") + b"Q\x03\x93\x87\0" + b"x" * 100,  # 60 MB are announced
+        frames.startup("backend", "store") + b"Q\x03\x93\x87\0" + b"x" * 100,  # the length says 60 MB
         frames.startup("backend", "store") + b"\x80\0\0\0\x05x",
         frames.startup("backend", "store") + b"QQQQQQQQQQQQQQQQQQ",
         frames.startup("backend", "store") + frames.message(b"P", b"\0SELECT 1\0\0\0"),
@@ -169,11 +169,11 @@
     ],
     ids=range(13),
 )
-def test_broken_framing_is_told_and_closed_at_once(data: bytes) -> None:
+def test_a_framing_fault_gets_a_fatal_error_and_a_close(data: bytes) -> None:
     site = Site()
     caller = Caller(site, start=False)
     caller.say(data)
-    assert caller.ended and caller.data_in.count(b"VFATAL\0") == 1
+    assert caller.ended and caller.received.count(b"VFATAL\0") == 1
     assert not site.front.clients and not any(node.seen for node in site.nodes.values())
 
 
@@ -181,7 +181,7 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"\0\0", START[:9], START, START + b"Q\0\0\x01"])
-def test_who_says_nothing_or_half_a_word_is_closed_within_three_seconds(data: bytes) -> None:
+def test_a_silent_client_or_half_a_message_is_closed_within_three_seconds(data: bytes) -> None:
     site = Site()
     caller = Caller(site, start=False)
     caller.say(data)
@@ -191,7 +191,7 @@
     assert caller.ended and not site.front.clients
 
 
-def test_half_a_command_behind_a_good_one_is_closed_too() -> None:
+def test_half_a_message_behind_a_whole_one_is_closed_too() -> None:
     site = Site()
     caller = Caller(site)
     caller.say(frames.query(site.write().encode()) + b"Q\0\0\x01")
@@ -200,7 +200,7 @@
     assert caller.ended
 
 
-def test_hundreds_that_say_nothing_keep_nobody_out() -> None:
+def test_hundreds_of_silent_connections_do_not_keep_a_client_out() -> None:
     site = Site(sockets=128)
     silent = [Caller(site, start=False) for _ in range(200)]
     site.run(0.01)
@@ -210,7 +210,7 @@
     assert sum(caller.ended for caller in silent) > 140
 
 
-def test_one_too_many_is_refused_while_all_others_are_asking() -> None:
+def test_a_client_above_the_limit_is_refused_while_no_other_is_idle() -> None:
     site = Site(sockets=64, delay=0.5)
     callers = [Caller(site) for _ in range(site.machine.limits.clients)]
     for caller in callers:
@@ -221,7 +221,7 @@
     assert len(site.front.clients) == len(callers)
 
 
-def test_a_client_that_leaves_takes_its_read_with_it_but_not_the_place_of_its_write() -> None:
+def test_a_write_in_flight_runs_once_though_its_client_disconnects() -> None:
     site = Site(delay=0.2)
     caller = Caller(site)
     caller.say(frames.query(site.write("k", "01").encode()))
@@ -230,11 +230,11 @@
     site.run(0.05)
     assert not site.machine.open and not site.front.clients
     site.run(0.5)
-    assert len(site.nodes["p"].seen) == 1  # and it was written once
+    assert len(site.nodes["p"].seen) == 1  # the write ran once
     site.balanced()
 
 
-def test_idle_clients_go_after_a_while() -> None:
+def test_idle_clients_are_closed_after_the_idle_timeout() -> None:
     site = Site()
     caller = Caller(site)
     assert value(caller.ask(site.write()))
@@ -246,8 +246,8 @@
     assert caller.ended
 
 
-def test_idle_clients_go_sooner_where_many_places_are_taken() -> None:
-    """Who asks once and stays keeps its client from opening another: two seconds each, and nobody gets in."""
+def test_idle_clients_are_closed_sooner_while_many_connections_are_in_use() -> None:
+    """With the usual timeout of two seconds, clients that query once and stay connected would keep new clients out."""
     site = Site(sockets=64)
     callers = [Caller(site) for _ in range(site.machine.limits.clients * 3 // 4)]
     for caller in callers:
@@ -261,7 +261,7 @@
 # ---- refusals
 
 
-def test_a_refusal_says_when_to_come_back() -> None:
+def test_a_refusal_carries_the_time_to_retry() -> None:
     site = Site()
     for node in site.nodes.values():
         node.stop()
@@ -270,7 +270,7 @@
     assert (fields["C"], fields["D"]) == ("53300", "1000")
 
 
-def test_what_was_sent_nowhere_is_refused_before_half_of_its_time() -> None:
+def test_a_write_that_no_member_got_is_refused_before_half_of_its_deadline() -> None:
     site = Site()
     for node in site.nodes.values():
         node.stop()
@@ -282,9 +282,9 @@
     site.balanced()
 
 
-# ---- nodes
+# ---- members
 
-SPOILT: list[tuple[str, bytes]] = [
+MALFORMED: list[tuple[str, bytes]] = [
     ("noise", random.Random(3).randbytes(400)),
     ("noise behind a row", row(b"01")[:-12] + random.Random(4).randbytes(100)),
     ("no end", b"x" * 200_000),
@@ -315,34 +315,36 @@
 ]
 
 
-@pytest.mark.parametrize("answer", [answer for _, answer in SPOILT], ids=[name for name, _ in SPOILT])
-def test_a_spoilt_answer_may_have_run_and_its_link_carries_nothing_more(answer: bytes) -> None:
+@pytest.mark.parametrize("answer", [answer for _, answer in MALFORMED], ids=[name for name, _ in MALFORMED])
+def test_a_malformed_answer_has_an_unknown_outcome_and_closes_its_link(answer: bytes) -> None:
     site = Site()
     caller = Caller(site)
     assert value(caller.ask(site.write("k", "01")))
     site.run(0.01)
     links = {peer for peer in site.nodes["p"].connections if peer.asked}
     site.nodes["p"].answers.append(lambda node, statement: answer)
-    told = caller.ask(site.write("k", "02"), 0.2)  # half an answer is not waited for until its time is over
+    told = caller.ask(site.write("k", "02"), 0.2)  # half an answer is given up before the deadline
     assert code(told) == "40003"
-    assert len(site.nodes["p"].seen) == 2  # an unsafe write is not sent again
+    assert len(site.nodes["p"].seen) == 2  # an unsafe write is not retried
     assert links and not links & site.nodes["p"].connections
     site.balanced()
 
 
-def test_a_spoilt_answer_to_a_read_is_asked_for_elsewhere() -> None:
+def test_a_read_with_a_malformed_answer_is_retried_on_another_member() -> None:
     site = Site()
     caller = Caller(site)
-    spoilt = [b"\0noise"]
+    malformed = [b"\0noise"]
     for node in site.nodes.values():
-        node.answers.append(lambda node, statement: spoilt.pop() if spoilt else node.answer(statement))
+        node.answers.append(lambda node, statement: malformed.pop() if malformed else node.answer(statement))
     assert value(caller.ask(site.read("any"), 0.2)) == b"none"
     assert sum(len(node.seen) for node in site.nodes.values()) == 2
 
 
 @pytest.mark.parametrize("more", [row(b"theirs") + frames.READY, b"noise", frames.READY, b"S"])
 @pytest.mark.parametrize("later", [False, True])
-def test_a_good_answer_with_more_behind_it_is_served_and_its_link_closed(more: bytes, later: bool) -> None:
+def test_a_good_answer_with_more_bytes_behind_it_is_served_and_its_link_closed(
+    more: bytes, later: bool
+) -> None:
     site = Site()
     caller = Caller(site)
     primary = site.nodes["p"]
@@ -362,11 +364,11 @@
     site.run(0.2)
     told = caller.told()
     assert [kind for kind, _ in told] == ["T", "D", "C", "Z"] * 2
-    assert frames.single_value(told[4][1], told[5][1]) == b"\x02"  # its own answer
+    assert frames.single_value(told[4][1], told[5][1]) == b"\x02"  # the second write's own answer
     site.balanced()
 
 
-def test_an_unreadable_load_report_spoils_nothing() -> None:
+def test_an_unparsable_load_report_does_not_affect_its_answer() -> None:
     site = Site()
     site.nodes["p"].answers.append(
         lambda node, statement: (
@@ -376,7 +378,7 @@
     assert value(Caller(site).ask(site.write("k", "01"))) == b"\x01"
 
 
-def test_a_position_ahead_of_the_clock_proves_nothing() -> None:
+def test_a_position_ahead_of_the_clock_is_dropped() -> None:
     site = Site()
     ahead = frames.parameter("commit_clock", str(int((site.world.now() + 60) * 1000)))
     for node in site.nodes.values():
@@ -396,7 +398,7 @@
 
 
 @pytest.mark.parametrize(("error", "expected"), OUTCOMES)
-def test_what_a_nodes_error_means_for_a_write(error: str, expected: str) -> None:
+def test_the_outcome_of_a_write_for_each_error_of_a_member(error: str, expected: str) -> None:
     site = Site()
     for node in site.nodes.values():
         node.answers.extend([lambda node, statement: frames.error(error, "no") + frames.READY] * 20)
@@ -407,7 +409,7 @@
     site.balanced()
 
 
-def test_a_write_whose_link_breaks_may_have_run() -> None:
+def test_a_write_whose_link_breaks_has_an_unknown_outcome() -> None:
     site = Site(delay=0.05)
     caller = Caller(site)
     caller.say(frames.query(site.write().encode()))
@@ -417,26 +419,26 @@
     site.balanced()
 
 
-def test_a_silent_primary_fails_its_writes_in_time_and_a_late_answer_reaches_nobody() -> None:
+def test_writes_to_a_silent_primary_fail_by_their_deadline_and_late_answers_are_dropped() -> None:
     site = Site()
     caller = Caller(site)
     assert value(caller.ask(site.write("k", "01")))
-    peers: list[Callable[[], None]] = []
+    late_answers: list[Callable[[], None]] = []
 
     def silent(node: PgNode, statement: bytes) -> bytes | None:
         (peer,) = [peer for peer in node.connections if peer.open]
-        peers.append(lambda: peer.say(node.answer(statement)))
+        late_answers.append(lambda: peer.say(node.answer(statement)))
         return None
 
     site.nodes["p"].answers.append(silent)
     told = caller.ask(site.write("k", "02"), 2.0)
     assert code(told) == "40003"
-    peers[0]()  # it comes after all
+    late_answers[0]()
     assert value(caller.ask(site.write("k", "03"), 0.5)) == b"\x03"
     site.balanced()
 
 
-def test_a_node_that_drains_gets_nothing_more_and_its_idle_links_close() -> None:
+def test_a_draining_member_gets_no_request_and_its_idle_links_close() -> None:
     site = Site()
     caller = Caller(site)
     for _ in range(8):
@@ -454,7 +456,7 @@
     assert not site.nodes["r1"].connections
 
 
-def test_a_new_id_at_an_old_address_starts_afresh_and_a_moved_one_is_asked_where_it_is() -> None:
+def test_a_new_id_at_an_old_address_is_a_new_member_and_a_moved_member_is_used_at_its_new_address() -> None:
     site = Site()
     caller = Caller(site)
     caller.ask(site.read("any"))
@@ -472,7 +474,7 @@
     assert len(site.machine.balancer.members) == 3
 
 
-def test_links_stay_within_the_budget_whatever_is_asked() -> None:
+def test_links_stay_within_their_limit_under_load() -> None:
     site = Site(sockets=64, delay=0.3)
     most = site.machine.limits.all_links
     callers = [Caller(site) for _ in range(site.machine.limits.clients)]
@@ -485,7 +487,7 @@
     site.balanced()
 
 
-def test_nothing_grows_with_what_is_over() -> None:
+def test_ended_requests_clients_and_members_leave_no_state() -> None:
     site = Site()
     for turn in range(40):
         caller = Caller(site)
@@ -508,7 +510,7 @@
 # ---- discovery
 
 
-def test_discovery_that_fails_is_asked_again_and_what_it_says_then_holds() -> None:
+def test_discovery_is_asked_again_after_a_failure_at_a_bounded_rate() -> None:
     site = Site()
     site.catalogue.failing = True
     site.catalogue.list("r1", site.nodes["r1"].address, state="DRAINING")
@@ -518,10 +520,10 @@
     site.catalogue.failing = False
     site.run(10.0)
     assert site.machine.nodes["r1"].state is State.DRAINING
-    assert len(site.catalogue.calls) - calls < 12  # it is not overrun
+    assert len(site.catalogue.calls) - calls < 12  # the rate of calls stays bounded
 
 
-def test_discovery_that_moves_is_followed() -> None:
+def test_discovery_is_followed_to_its_new_address() -> None:
     from banklift.emulator.platform import Catalogue
 
     site = Site()
@@ -538,7 +540,7 @@
 VANISHED = {**SETTINGS, "rules": {**SETTINGS["rules"], "dropped_stay_open": True}}
 
 
-def test_who_vanished_undrained_is_still_sent_to_where_that_binds_nobody() -> None:
+def test_a_member_deleted_without_a_drain_is_still_used_if_the_rules_allow_it() -> None:
     site = Site(settings=VANISHED)
     caller = Caller(site)
     assert value(caller.ask(site.write("k", "01")))
@@ -552,7 +554,7 @@
     site.balanced()
 
 
-def test_a_member_that_moved_is_another_also_where_vanishing_binds_nobody() -> None:
+def test_a_moved_member_is_replaced_also_if_deleted_members_stay_in_use() -> None:
     site = Site(settings=VANISHED)
     caller = Caller(site)
     moved = PgNode(site.world, "10.0.0.9:6432", True, store=site.nodes["p"].store).start()
@@ -563,18 +565,18 @@
     assert len(site.machine.balancer.members) == 3
 
 
-def test_a_send_to_one_that_the_machine_holds_no_more_counts_and_ends() -> None:
+def test_an_attempt_on_a_member_unknown_to_the_machine_ends_as_refused() -> None:
     site = Site()
-    del site.machine.aliases["p"]  # as the module may know longer of a member than the machine
+    del site.machine.aliases["p"]  # the module may still know a member that the machine has dropped
     caller = Caller(site)
     told = caller.ask(site.write(patience=1500), 1.6)
     assert code(told) == "53300" and not site.machine.open and not site.machine.balancer.requests
 
 
-def test_a_cluster_that_the_list_does_not_name_yet_is_refused_and_no_fault_of_its_client() -> None:
+def test_a_group_missing_from_the_roster_is_refused_and_counts_as_no_fault_of_the_client() -> None:
     site = Site()
     caller = Caller(site)
-    for cluster in range(70, 76):  # more often than faults are forgiven
+    for cluster in range(70, 76):  # more often than bad statements are accepted
         assert code(caller.ask(site.read("any", cluster=cluster))) == "53300"
     assert not caller.ended and set(site.machine.balancer.groups) == {0} and not site.machine.open
     site.catalogue.list("n", site.nodes["r1"].address, group=70)
@@ -591,17 +593,17 @@
     site.run(0.02)
 
 
-def test_a_load_report_reaches_the_module_by_the_names_of_the_settings() -> None:
+def test_a_load_report_is_parsed_by_the_field_names_of_the_settings() -> None:
     report = parse_usage("x0=17.5,x1=0,outstanding=7,backlog=3")
     assert report is not None
     assert (report.position, report.primary, report.in_flight, report.queued) == (17.5, False, 7.0, 3.0)
     site = Site()
-    site.nodes["r1"].open = 9  # as if others had these there
+    site.nodes["r1"].open = 9  # requests of other routers
     probe(site, "r1")
     assert site.machine.balancer.members["r1"].load == 9.0
 
 
-def test_probes_go_on_the_links_that_carry_requests() -> None:
+def test_probes_share_the_links_of_requests() -> None:
     site = Site()
     caller = Caller(site)
     assert value(caller.ask(site.write()))
@@ -613,17 +615,17 @@
     assert site.machine.nodes["p"].prober is None and not site.machine.nodes["p"].probes
 
 
-def test_a_node_that_is_asked_too_often_lives() -> None:
+def test_a_member_that_refuses_a_probe_counts_as_alive() -> None:
     site = Site()
     node, known = site.nodes["r1"], site.machine.nodes["r1"]
     node.usage = lambda: frames.error("57P03", "asked too often")  # type: ignore[method-assign]
     probe(site, "r1")
     member = site.machine.balancer.members["r1"]
     assert member.reported == member.seen > member.probed and site.machine.balancer.healthy(member)
-    assert known.prober is None and len(known.idle[0]) == 1  # the link is good for requests
+    assert known.prober is None and len(known.idle[0]) == 1  # the link stays usable for requests
 
 
-def test_a_silent_probe_closes_its_link_and_an_attempt_takes_another() -> None:
+def test_an_unanswered_probe_closes_its_link_and_an_attempt_opens_another() -> None:
     site = Site()
     node, known = site.nodes["p"], site.machine.nodes["p"]
     node.usage = lambda: b""  # type: ignore[method-assign]
@@ -634,21 +636,21 @@
     assert known.prober is None and not known.probes and len(node.connections) == 1
 
 
-# ---- the end
+# ---- shutdown
 
 
-def test_what_comes_while_the_router_drains_is_answered_by_its_end() -> None:
+def test_requests_that_arrive_during_the_drain_are_answered_by_its_end() -> None:
     site = Site()
     caller, idle = Caller(site), Caller(site)
     assert value(idle.ask(site.write())) and value(caller.ask(site.write()))
     site.host.drain(site.world.now() + 2.6)
     site.run(0.3)
-    assert not idle.ended  # clients still come here
+    assert not idle.ended  # new clients still connect to this router
     site.nodes["p"].answers.append(lambda node, statement: None)
     caller.say(frames.query(site.write(patience=5000).encode()), 2.0)
     late = Caller(site)
     assert value(late.ask(site.read("any")))
-    assert late.ended and not caller.ended  # whatever it asked next could not be answered in time
+    assert late.ended and not caller.ended  # there is no time left for another query
     site.host.leave()
     site.run(0.01)
     assert idle.ended and not caller.ended
@@ -657,16 +659,16 @@
     site.balanced()
 
 
-# ---- the codec and the statements, fuzzed
+# ---- random input for the codec and the parser; links and probes
 
 
-def test_statements_are_read_or_refused_and_never_changed() -> None:
-    site, chance = Site(), random.Random(5)
+def test_mutated_statements_are_refused_or_forwarded_unchanged() -> None:
+    site, rng = Site(), random.Random(5)
     for turn in range(3000):
         text = bytearray((site.write() if turn % 2 else site.read()).encode())
-        for _ in range(chance.randrange(4)):
-            place = chance.randrange(len(text))
-            text[place : place + chance.randrange(3)] = chance.randbytes(chance.randrange(3))
+        for _ in range(rng.randrange(4)):
+            place = rng.randrange(len(text))
+            text[place : place + rng.randrange(3)] = rng.randbytes(rng.randrange(3))
         try:
             statement = parse(bytes(text))
         except BadStatement:
@@ -675,13 +677,13 @@
         assert statement.text(statement.client_timeout_ms) == passed
 
 
-def test_a_client_of_random_bytes_harms_nobody() -> None:
-    site, chance = Site(), random.Random(6)
+def test_clients_that_send_random_bytes_do_not_disturb_others() -> None:
+    site, rng = Site(), random.Random(6)
     usual = Caller(site)
     for turn in range(200):
         caller = Caller(site, start=False)
         data = frames.startup("backend", "store") if turn % 2 else b""
-        caller.say(data + chance.randbytes(chance.randrange(1, 200)))
+        caller.say(data + rng.randbytes(rng.randrange(1, 200)))
         if turn % 40 == 0:
             assert value(usual.ask(site.write()))
     site.run(3.0)
@@ -690,8 +692,8 @@
     )
 
 
-def test_thousands_of_tiny_commands_in_one_piece_are_answered_one_by_one() -> None:
-    """Each of them is answered at once, so the line is empty again before more is read: no depth may come of that."""
+def test_thousands_of_empty_queries_in_one_read_are_answered_without_recursion() -> None:
+    """An empty query is answered at once, so reading continues from within the answer: this must not nest calls."""
     site = Site()
     caller = Caller(site)
     caller.say(frames.query(b"") * 20_000, 0.1)
@@ -699,11 +701,12 @@
     assert value(caller.ask(site.write()))
 
 
-def test_requests_open_links_of_their_own_rather_than_wait_for_the_one_that_rests() -> None:
+def test_requests_open_new_links_rather_than_wait_for_a_resting_one() -> None:
     site = Site(delay=0.1)
     callers = [Caller(site) for _ in range(4)]
     assert value(callers[0].ask(site.write("a"), 0.2))
-    callers[0].say(frames.query(site.write("b").encode()), 0.1009)  # its link has just begun to rest
+    # When this returns, the link has been answered less than its rest time ago.
+    callers[0].say(frames.query(site.write("b").encode()), 0.1009)
     for caller in callers:
         caller.handle.send(frames.query(site.write("c").encode()))
     site.run(0.13)
@@ -712,7 +715,7 @@
     site.balanced()
 
 
-def test_a_probe_that_waits_behind_a_spoilt_one_ends_too() -> None:
+def test_a_probe_queued_behind_a_malformed_answer_ends_too() -> None:
     site = Site()
     node = site.machine.nodes["r1"]
     site.machine.probe(node)
