--- a/banklift/fleet/state.py
+++ b/banklift/fleet/state.py
@@ -1,20 +1,21 @@
-"""What the voters agree on, and how it may change: small, versioned, whole.
+"""The state that the voters of a fleet agree on, and the transitions of a change of policy.
 
-The life of a change of policy. Every arrow is one compare-and-set of the register (register.py); what does not
-fit the state as it stands leaves it as it is, so each may be tried again by anybody, late or twice.
+Each transition is a pure function from one state to the next, applied as one compare-and-set of the replicated
+register (register.py). A transition that does not fit the current state returns that state unchanged, so any voter
+may retry one, late or more than once.
 
-| state of the change | event | next | what is told |
+| state of the change | event | next | what is reported |
 | --- | --- | --- | --- |
-| none | `propose`, made for this version | checking | every voter has its routers check it |
-| none | `propose`, made for an older version | none | refused: look again; it can never be made any more |
-| checking | another `propose` | checking | refused: one at a time |
-| checking | all that hold a lease have accepted: `agree` | agreed | from here on it can't be taken back |
-| checking | one refused, or did not answer in time: `abort` | none | "aborted", with each place and reason |
-| checking, of a dry run | the same two | none | "fine", or "refused" with reasons; nothing is in force |
-| agreed | a majority of voters grants the new epoch alone: `settle` | none | "in force" |
-
-The id of a change begins with the version that it was made for, so one that is asked for again is either found
-in the history, or is under way, or can't be made any more. It is never made twice, however long ago it was.
+| none | `propose`, made for the current version | checking | every voter has its routers check the policy |
+| none | `propose`, made for an older version | none | refused: read the state again; this id can never be proposed |
+| checking | `propose` of another change | checking | refused: one change at a time |
+| checking | all lease holders have accepted: `agree` | agreed | from here on the change can't be taken back |
+| checking | a holder refused or did not answer in time: `abort` | none | "aborted", with each holder and its reason |
+| checking, dry run | the same events: `abort` | none | "fine", or "refused" with reasons; not in force |
+| agreed | a majority of voters grants only the new epoch: `settle` | none | "in force" |
+
+A change's id begins with the version of the state that it was made for. A change that is proposed again is therefore
+found in the history, or is under way, or can't be made any more: it is never made twice, however late the repeat.
 """
 
 from __future__ import annotations
@@ -24,51 +25,65 @@
 
 import msgspec
 
-HISTORY = 64  # outcomes that are kept
-POLICY_LIMIT = 256 * 1024  # bytes of a policy
+MAX_HISTORY = 64  # outcomes kept in the state
+MAX_POLICY_BYTES = 256 * 1024
+MAX_CHANGE_SUFFIX_LENGTH = 64  # characters of a change's id after "VERSION-"
 
 
 class Stage(StrEnum):
+    """The stage of a change that is under way."""
+
     CHECKING = "checking"
     AGREED = "agreed"
 
 
 class Result(StrEnum):
+    """How a change ended. `FINE` and `REFUSED` are the results of a dry run."""
+
     IN_FORCE = "in force"
     ABORTED = "aborted"
-    FINE = "fine"  # of a dry run
-    REFUSED = "refused"  # of a dry run
+    FINE = "fine"
+    REFUSED = "refused"
 
 
 class Change(msgspec.Struct, frozen=True):
+    """A change of policy that is under way."""
+
     id: str
     policy: bytes
-    epoch: int  # that it will be
-    by: str  # the voter that proposed it
-    patience: float  # seconds that routers have to check it
-    dry: bool = False  # checked everywhere, never in force
+    epoch: int  # of this policy, once it is in force
+    by: str  # name of the voter that proposed it
+    patience: float  # seconds that lease holders have to check it
+    dry: bool = False  # a dry run: the policy is checked everywhere and never put in force
     stage: Stage = Stage.CHECKING
 
 
 class Outcome(msgspec.Struct, frozen=True):
+    """How a change ended."""
+
     id: str
-    epoch: int  # in force when it ended
+    epoch: int  # in force when the change ended
     result: Result
-    reasons: tuple[str, ...] = ()
-    digest: str = ""  # of its policy
+    reasons: tuple[str, ...] = ()  # why it was aborted, or refused in a dry run
+    digest: str = ""  # of the change's policy
 
 
 class State(msgspec.Struct, frozen=True):
+    """The replicated state of a fleet."""
+
     fleet: str
-    version: int  # counts the changes of this state
-    epoch: int  # of the policy in force: policies are counted
-    policy: bytes
+    version: int  # rises by one with each transition
+    epoch: int  # of the policy in force; rises by one with each policy put in force
+    policy: bytes  # in force
     change: Change | None = None
-    history: tuple[Outcome, ...] = ()  # the newest last
+    history: tuple[Outcome, ...] = ()  # outcomes of the last changes, the newest last
 
 
 class ProposalRejected(Exception):
-    """A change that can't be proposed; the text says why. `busy`: another one is under way."""
+    """Raised where a change can't be proposed; the text says why.
+
+    `busy`: another change is under way, so the same policy may be proposed again later.
+    """
 
     def __init__(self, text: str, busy: bool = False) -> None:
         super().__init__(text)
@@ -76,32 +91,42 @@
 
 
 def digest(policy: bytes) -> str:
-    """By which a policy is known without its text."""
+    """The digest by which messages refer to a policy without its text."""
     return hashlib.blake2b(policy, digest_size=8).hexdigest()
 
 
-def made_for(change: str) -> int:
-    """The version that a change's id was made for. Errors: `ProposalRejected` if it is no such id."""
-    version, dash, rest = change.partition("-")
-    if not (dash and version.isdigit() and 0 < len(rest) <= 64 and rest.isalnum()):
+def base_version(change: str) -> int:
+    """The version of the state that a change was made for, as its id says.
+
+    Errors: `ProposalRejected` if the text is not the id of a change.
+    """
+    version, dash, suffix = change.partition("-")
+    if not (dash and version.isdigit() and 0 < len(suffix) <= MAX_CHANGE_SUFFIX_LENGTH and suffix.isalnum()):
         raise ProposalRejected(f"{change!r} is not the id of a change: VERSION-LETTERS is needed")
     return int(version)
 
 
-def outcome(state: State, change: str) -> Outcome | None:
-    return next((one for one in reversed(state.history) if one.id == change), None)
+def find_outcome(state: State, change: str) -> Outcome | None:
+    """The outcome of the change with this id; None if the history does not hold it."""
+    return next((outcome for outcome in reversed(state.history) if outcome.id == change), None)
 
 
 def found(fleet: str, policy: bytes) -> State:
+    """The first state of a fleet: version 1, epoch 1."""
     return State(fleet, 1, 1, policy)
 
 
 def propose(state: State, change: str, policy: bytes, by: str, patience: float, dry: bool = False) -> State:
-    """Errors: `ProposalRejected`. A change that is known already, under way or ended, leaves the state as it is."""
-    version = made_for(change)
-    if len(policy) > POLICY_LIMIT:
-        raise ProposalRejected(f"a policy has {POLICY_LIMIT} bytes at the most, this one {len(policy)}")
-    if outcome(state, change) is not None or (state.change is not None and state.change.id == change):
+    """Start checking a change. One that is known already, under way or ended, leaves the state as it is.
+
+    `by`: the voter that proposes it. `patience`: seconds that lease holders have to check it.
+    Errors: `ProposalRejected` for an invalid id, a policy that is too long, another change under way, or an id made
+    for another version of the state.
+    """
+    version = base_version(change)
+    if len(policy) > MAX_POLICY_BYTES:
+        raise ProposalRejected(f"a policy has {MAX_POLICY_BYTES} bytes at the most, this one {len(policy)}")
+    if find_outcome(state, change) is not None or (state.change is not None and state.change.id == change):
         return state
     if state.change is not None:
         raise ProposalRejected(f"change {state.change.id} is under way ({state.change.stage})", busy=True)
@@ -110,35 +135,39 @@
             f"made for version {version}, and it is {state.version} now: it was not made or its outcome is no "
             "longer kept, and it will not be made any more"
         )
-    made = Change(change, policy, state.epoch + 1, by, patience, dry)
-    return msgspec.structs.replace(state, version=state.version + 1, change=made)
+    proposed = Change(change, policy, state.epoch + 1, by, patience, dry)
+    return msgspec.structs.replace(state, version=state.version + 1, change=proposed)
 
 
 def agree(state: State, change: str) -> State:
-    one = state.change
-    if one is None or one.id != change or one.stage is not Stage.CHECKING or one.dry:
+    """Agree on a change that all lease holders have accepted. A dry run is never agreed."""
+    current = state.change
+    if current is None or current.id != change or current.stage is not Stage.CHECKING or current.dry:
         return state
-    agreed = msgspec.structs.replace(one, stage=Stage.AGREED)
+    agreed = msgspec.structs.replace(current, stage=Stage.AGREED)
     return msgspec.structs.replace(state, version=state.version + 1, change=agreed)
 
 
 def abort(state: State, change: str, reasons: tuple[str, ...]) -> State:
-    """End a change that is being checked; of a dry run, with no reasons it was fine."""
-    one = state.change
-    if one is None or one.id != change or one.stage is not Stage.CHECKING:
+    """End a change that is being checked. A dry run ends as fine if there are no reasons against it."""
+    current = state.change
+    if current is None or current.id != change or current.stage is not Stage.CHECKING:
         return state
-    result = (Result.REFUSED if reasons else Result.FINE) if one.dry else Result.ABORTED
-    return _ended(state, Outcome(one.id, state.epoch, result, reasons, digest(one.policy)))
+    result = (Result.REFUSED if reasons else Result.FINE) if current.dry else Result.ABORTED
+    return _with_outcome(state, Outcome(current.id, state.epoch, result, reasons, digest(current.policy)))
 
 
 def settle(state: State, change: str) -> State:
-    one = state.change
-    if one is None or one.id != change or one.stage is not Stage.AGREED:
+    """Put an agreed change in force, once a majority of voters grants leases on its epoch alone."""
+    current = state.change
+    if current is None or current.id != change or current.stage is not Stage.AGREED:
         return state
-    switched = msgspec.structs.replace(state, epoch=one.epoch, policy=one.policy)
-    return _ended(switched, Outcome(one.id, one.epoch, Result.IN_FORCE, (), digest(one.policy)))
+    switched = msgspec.structs.replace(state, epoch=current.epoch, policy=current.policy)
+    outcome = Outcome(current.id, current.epoch, Result.IN_FORCE, (), digest(current.policy))
+    return _with_outcome(switched, outcome)
 
 
-def _ended(state: State, ended: Outcome) -> State:
-    history = (*state.history, ended)[-HISTORY:]
+def _with_outcome(state: State, outcome: Outcome) -> State:
+    """The state after its change has ended with this outcome."""
+    history = (*state.history, outcome)[-MAX_HISTORY:]
     return msgspec.structs.replace(state, version=state.version + 1, change=None, history=history)
--- a/banklift/fleet/voter.py
+++ b/banklift/fleet/voter.py
@@ -61,8 +61,8 @@
     State,
     abort,
     agree,
+    find_outcome,
     found,
-    outcome,
     propose,
     settle,
 )
@@ -400,7 +400,7 @@
         drive = self.drive
         if drive is not None and (state.change is None or state.change.id != drive.change):
             self.drive = None
-            ended = outcome(state, drive.change)
+            ended = find_outcome(state, drive.change)
             if ended is not None:
                 for operator in sorted(drive.operators):
                     self.actions.append(ToOperator(operator, Ended(ended)))
@@ -414,7 +414,7 @@
         """It was proposed, or is known: tell how it ended, or take it further."""
         state = self.lease_table.state
         assert state is not None
-        ended = outcome(state, change)
+        ended = find_outcome(state, change)
         if ended is not None:
             self.actions.append(ToOperator(operator, Ended(ended)))
         elif state.change is not None and state.change.id == change:
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -5,8 +5,8 @@
 import pytest
 
 from banklift.fleet.state import (
-    HISTORY,
-    POLICY_LIMIT,
+    MAX_HISTORY,
+    MAX_POLICY_BYTES,
     ProposalRejected,
     Result,
     Stage,
@@ -14,8 +14,8 @@
     abort,
     agree,
     digest,
+    find_outcome,
     found,
-    outcome,
     propose,
     settle,
 )
@@ -30,7 +30,7 @@
 def test_a_change_takes_hold() -> None:
     state = settle(agree(proposed(), "1-a"), "1-a")
     assert (state.epoch, state.policy, state.change, state.version) == (2, b"two", None, 4)
-    ended = outcome(state, "1-a")
+    ended = find_outcome(state, "1-a")
     assert ended is not None and (ended.result, ended.epoch, ended.digest) == (
         Result.IN_FORCE,
         2,
@@ -41,7 +41,7 @@
 def test_a_change_is_aborted_with_its_reasons() -> None:
     state = abort(proposed(), "1-a", ("r1: $.x: no",))
     assert (state.epoch, state.policy, state.change) == (1, b"one", None)
-    ended = outcome(state, "1-a")
+    ended = find_outcome(state, "1-a")
     assert ended is not None and (ended.result, ended.reasons) == (Result.ABORTED, ("r1: $.x: no",))
 
 
@@ -73,10 +73,10 @@
 
 def test_an_id_that_fell_out_of_the_history_is_never_made_again() -> None:
     state = settle(agree(proposed(), "1-a"), "1-a")
-    for number in range(HISTORY + 1):
+    for number in range(MAX_HISTORY + 1):
         change = f"{state.version}-n{number}"
         state = abort(proposed(state, change, b"three"), change, ("no",))
-    assert outcome(state, "1-a") is None and len(state.history) == HISTORY
+    assert find_outcome(state, "1-a") is None and len(state.history) == MAX_HISTORY
     with pytest.raises(ProposalRejected, match="will not be made any more"):
         proposed(state)
 
@@ -97,8 +97,8 @@
 
 def test_a_policy_is_bounded() -> None:
     with pytest.raises(ProposalRejected, match="bytes at the most"):
-        proposed(policy=b"x" * (POLICY_LIMIT + 1))
-    assert proposed(policy=b"x" * POLICY_LIMIT).change is not None
+        proposed(policy=b"x" * (MAX_POLICY_BYTES + 1))
+    assert proposed(policy=b"x" * MAX_POLICY_BYTES).change is not None
     assert agree(proposed(), "1-a").change is not None
     change = agree(proposed(), "1-a").change
     assert change is not None and change.stage is Stage.AGREED
