--- a/banklift/fleet/voter.py
+++ b/banklift/fleet/voter.py
@@ -343,7 +343,7 @@
     def _go_on_rejoining(self, own: Rejoining) -> None:
         """Ask those that may have more to tell; begin again where enough is known and the write of it failed."""
         for voter, up in self.linked.items():
-            if up and not own.heard_voting(voter):
+            if up and not own.has_voting_answer(voter):
                 self.actions.append(ToVoter(voter, Rejoin(own.record.incarnation)))
         known = own.done()
         if known is not None and self.disk.idle:
