--- a/banklift/fleet/proposer.py
+++ b/banklift/fleet/proposer.py
@@ -1,12 +1,14 @@
-"""A voter's own proposals to the register, one after another, each tried until it is chosen or rejected. Pure.
+"""A voter's own proposals to the register, made one after another. Pure.
+
+Each task is retried under higher ballots until its change is chosen, or rejected by the state it would apply to.
 
 | state | event | next | what is sent |
 | --- | --- | --- | --- |
-| idle | a task | preparing | `Prepare` to all |
-| preparing | a majority has promised | accepting | `Accept` to all; nothing if the state rejects the task |
-| accepting | a majority has accepted | idle, or the next task | - |
-| preparing, accepting | a newer ballot is known | pausing, for a time that is drawn | - |
-| preparing, accepting | no majority in time | preparing | `Prepare` under a higher ballot |
+| idle | a task is added | preparing | `Prepare` to all voters |
+| preparing | a majority has promised | accepting | `Accept` to all voters; nothing if the state rejects the task |
+| accepting | a majority has accepted | preparing the next task, or idle | `Prepare` if there is a next task |
+| preparing, accepting | `Nack` with a higher ballot | pausing, for a random time | - |
+| preparing, accepting | no majority before the round's timeout | preparing | `Prepare` under a higher ballot |
 | pausing | the pause is over | preparing | `Prepare` under a higher ballot |
 """
 
@@ -22,109 +24,119 @@
 from banklift.fleet.register import Proposal
 from banklift.fleet.state import ProposalRejected, State
 
-ROUND = 0.5  # seconds that a proposal waits for answers before it is tried again; grows with each try ...
-ROUND_MOST = 4.0  # ... up to this
+ROUND_TIMEOUT_SECONDS = 0.5  # the first timeout of a task's round; doubles with each attempt
+MAX_ROUND_TIMEOUT_SECONDS = 4.0
 MAX_ROUND_DOUBLINGS = 8
-PAUSE = 0.1  # seconds at the most before a try after a newer ballot was met; grows with each try
+RETRY_PAUSE_SECONDS = 0.1  # longest first pause after a preempted ballot; doubles with each attempt
 MAX_PAUSE_DOUBLINGS = 5
 
 
 @dataclass(slots=True, eq=False)
 class Task:
-    """A change of the register that is wanted, and what is done once it was made or can't be."""
+    """A change of the register, and the callbacks for its end.
+
+    `change`: makes the new state from the current one; may raise `ProposalRejected`.
+    """
 
     change: Callable[[State | None], State]
-    done: Callable[[State], None]
-    rejected: Callable[[ProposalRejected], None]
-    tries: int = 0
+    on_chosen: Callable[[State], None]
+    on_rejected: Callable[[ProposalRejected], None]
+    attempts: int = 0  # rounds that ended without a result
 
 
 class Proposer:
-    """`send_all` sends to all voters, this one among them; `chosen` is told of each state that was chosen."""
+    """Makes one voter's tasks, in order.
+
+    `broadcast`: sends to all voters, this one among them. `on_chosen`: called with each state that was chosen by a
+    proposal of this voter.
+    """
 
     def __init__(
         self,
         name: str,
         voters: tuple[str, ...],
         random: Random,
-        send_all: Callable[[Prepare | Accept], None],
-        chosen: Callable[[State], None],
+        broadcast: Callable[[Prepare | Accept], None],
+        on_chosen: Callable[[State], None],
     ) -> None:
         self.name, self.voters, self.random = name, voters, random
-        self.send_all, self.chosen = send_all, chosen
+        self.broadcast, self.on_chosen = broadcast, on_chosen
         self.tasks: deque[Task] = deque()
         self.proposal: Proposal | None = None
-        self.round_ends = math.inf
-        self.highest: Ballot = NO_BALLOT
+        self.deadline = math.inf  # when the round times out or the pause ends
+        self.highest_ballot: Ballot = NO_BALLOT  # known; the next proposal goes above it
         self.now = 0.0
 
     def add(self, now: float, task: Task) -> None:
-        """Make this change, after those that wait already."""
+        """Queue a task. Times are seconds on the voter's own clock."""
         self.now = now
         self.tasks.append(task)
-        if self.proposal is None and self.round_ends == math.inf:
-            self._begin()
+        if self.proposal is None and self.deadline == math.inf:
+            self._begin_round()
 
     def wake(self, now: float) -> None:
-        """Try again if the round got no majority in time, or its pause is over."""
+        """Start another round if the last one timed out, or if the pause after it is over."""
         self.now = now
-        if now < self.round_ends:
+        if now < self.deadline:
             return
-        self.proposal, self.round_ends = None, math.inf
+        self.proposal, self.deadline = None, math.inf
         if self.tasks:
-            self.tasks[0].tries += 1
-            self._begin()
+            self.tasks[0].attempts += 1
+            self._begin_round()
 
     def message(self, now: float, voter: str, message: Promise | Accepted | Nack) -> None:
-        """An answer; one to an older round is left aside by its ballot."""
+        """Handle a voter's answer. The proposal ignores an answer to an older round, which has another ballot."""
         self.now = now
         if isinstance(message, Nack):
-            self.highest = max(self.highest, message.promised)
+            self.highest_ballot = max(self.highest_ballot, message.promised)
         if self.proposal is None:
             return
         match message:
             case Promise():
-                self._promised(self.proposal, voter, message)
+                self._handle_promise(self.proposal, voter, message)
             case Accepted():
-                self._accepted(self.proposal, voter, message)
+                self._handle_accepted(self.proposal, voter, message)
             case Nack():
                 if self.proposal.nack(message):
-                    self._pause()
+                    self._pause_before_retry()
 
-    def _begin(self) -> None:
+    def _begin_round(self) -> None:
+        """Propose the first task under a new ballot."""
         task = self.tasks[0]
-        self.highest = (self.highest[0] + 1, self.name)
-        self.proposal = Proposal(self.highest, self.voters, task.change)
-        wait = min(ROUND_MOST, ROUND * 2 ** min(task.tries, MAX_ROUND_DOUBLINGS))
-        self.round_ends = self.now + wait * self.random.uniform(0.8, 1.2)
-        self.send_all(Prepare(self.highest))
-
-    def _promised(self, proposal: Proposal, voter: str, message: Promise) -> None:
+        self.highest_ballot = (self.highest_ballot[0] + 1, self.name)
+        self.proposal = Proposal(self.highest_ballot, self.voters, task.change)
+        timeout = min(
+            MAX_ROUND_TIMEOUT_SECONDS, ROUND_TIMEOUT_SECONDS * 2 ** min(task.attempts, MAX_ROUND_DOUBLINGS)
+        )
+        self.deadline = self.now + timeout * self.random.uniform(0.8, 1.2)
+        self.broadcast(Prepare(self.highest_ballot))
+
+    def _handle_promise(self, proposal: Proposal, voter: str, message: Promise) -> None:
         try:
             accept = proposal.promised(voter, message)
         except ProposalRejected as rejected:
-            self._finish().rejected(rejected)
+            self._finish_task().on_rejected(rejected)
             return
         if accept is not None:
-            self.send_all(accept)
+            self.broadcast(accept)
 
-    def _accepted(self, proposal: Proposal, voter: str, message: Accepted) -> None:
+    def _handle_accepted(self, proposal: Proposal, voter: str, message: Accepted) -> None:
         state = proposal.accepted(voter, message)
         if state is not None:
-            task = self._finish()
-            self.chosen(state)
-            task.done(state)
+            task = self._finish_task()
+            self.on_chosen(state)
+            task.on_chosen(state)
 
-    def _pause(self) -> None:
-        """Wait for a time that is drawn, or two proposers beat each other for ever."""
+    def _pause_before_retry(self) -> None:
+        """Wait for a random time; without it two proposers could preempt each other for ever."""
         self.proposal = None
-        doublings = min(self.tasks[0].tries, MAX_PAUSE_DOUBLINGS)
-        self.round_ends = self.now + self.random.uniform(0.0, PAUSE) * 2**doublings
+        doublings = min(self.tasks[0].attempts, MAX_PAUSE_DOUBLINGS)
+        self.deadline = self.now + self.random.uniform(0.0, RETRY_PAUSE_SECONDS) * 2**doublings
 
-    def _finish(self) -> Task:
-        """The first task is over; go on to the next."""
-        self.proposal, self.round_ends = None, math.inf
+    def _finish_task(self) -> Task:
+        """Remove the first task and start on the next one. Returns the removed one."""
+        self.proposal, self.deadline = None, math.inf
         task = self.tasks.popleft()
         if self.tasks:
-            self._begin()
+            self._begin_round()
         return task
--- a/banklift/fleet/voter.py
+++ b/banklift/fleet/voter.py
@@ -262,7 +262,7 @@
         return self._out()
 
     def due(self, now: float) -> float:
-        times = [self.proposer.round_ends, self.disk.retry_at, self.lease_table.due(now)]
+        times = [self.proposer.deadline, self.disk.retry_at, self.lease_table.due(now)]
         if self.rejoining is not None:
             times.append(self.rejoin_at)
         if self.drive is not None:
@@ -358,7 +358,7 @@
             if self.rejoining is not own:
                 return
             self.rejoining = None
-            self.proposer.highest = max(self.proposer.highest, record.promised)
+            self.proposer.highest_ballot = max(self.proposer.highest_ballot, record.promised)
             self.actions.append(LogLine("votes", {"incarnation": record.incarnation}))
             self._task(
                 lambda state: state or found(self.fleet, self.policy), self._in_step, lambda rejected: None
@@ -432,12 +432,12 @@
         if state is None or state.change is None or state.change.id != drive.change:
             self.drive = None
             return
-        drive.number += 1
+        drive.survey_number += 1
         self.driven = self.now
         for voter, up in self.linked.items():
             if up:
-                self.actions.append(ToVoter(voter, Survey(drive.change, state.version, drive.number)))
-        drive.answers[self.name] = self._survey(drive.change, drive.number)
+                self.actions.append(ToVoter(voter, Survey(drive.change, state.version, drive.survey_number)))
+        drive.answers[self.name] = self._survey(drive.change, drive.survey_number)
         self._decide(drive)
 
     def _surveyed_by(self, voter: str, survey: Survey) -> None:
@@ -491,7 +491,7 @@
 
     def _decide(self, drive: Drive) -> None:
         change = self.lease_table.change
-        if change is None or change.id != drive.change or drive.deciding:
+        if change is None or change.id != drive.change or drive.step_in_flight:
             return
         step = drive.next_step(self.now, change)
         match step:
@@ -507,7 +507,7 @@
                 self.actions.append(ToOperator(operator, progress))
 
     def _step(self, drive: Drive, step: Callable[[State], State]) -> None:
-        drive.deciding = True
+        drive.step_in_flight = True
 
         def change(state: State | None) -> State:
             if state is None:
@@ -515,10 +515,10 @@
             return step(state)
 
         def done(state: State) -> None:
-            drive.deciding = False
+            drive.step_in_flight = False
 
         def rejected(fault: ProposalRejected) -> None:
-            drive.deciding = False
+            drive.step_in_flight = False
 
         self._task(change, done, rejected)
 
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -5,8 +5,8 @@
 import pytest
 
 from banklift.fleet.actions import LogLine
-from banklift.fleet.driver import GRACE, NO_ANSWER, Drive, Step, StepKind
-from banklift.fleet.durable import DISK_RETRY, DurableRecord, Save
+from banklift.fleet.driver import NO_ANSWER_REASON, REFUSAL_GRACE_SECONDS, Drive, Step, StepKind
+from banklift.fleet.durable import DISK_RETRY_SECONDS, DurableRecord, Save
 from banklift.fleet.messages import Holder, Summary, Surveyed
 from banklift.fleet.register import Record
 from banklift.fleet.state import Change, Stage
@@ -63,7 +63,7 @@
     refused = answered(refusals=(holder("r7", ("no",)),), waiting=1)
     one = drive(v0=refused)
     assert one.next_step(100.1, CHECKING) is None
-    assert one.next_step(100.1 + GRACE, CHECKING) == Step(StepKind.ABORT, ("r7: no",))
+    assert one.next_step(100.1 + REFUSAL_GRACE_SECONDS, CHECKING) == Step(StepKind.ABORT, ("r7: no",))
 
 
 def test_an_aggregator_names_the_routers_that_refuse() -> None:
@@ -89,7 +89,7 @@
         ),
     )
     silent = drive(v0=answered(), v1=answered(), v2=answered())
-    assert silent.next_step(100.0 + PATIENCE, CHECKING) == Step(StepKind.ABORT, (NO_ANSWER,))
+    assert silent.next_step(100.0 + PATIENCE, CHECKING) == Step(StepKind.ABORT, (NO_ANSWER_REASON,))
 
 
 class Disk:
@@ -129,9 +129,9 @@
     disk.wait("first")
     disk.wait("second")
     disk.record.saved(5.0, 1, "EIO")
-    disk.record.wake(5.0 + DISK_RETRY - 0.1)
+    disk.record.wake(5.0 + DISK_RETRY_SECONDS - 0.1)
     assert disk.saves == [1]
-    disk.record.wake(5.0 + DISK_RETRY)
+    disk.record.wake(5.0 + DISK_RETRY_SECONDS)
     disk.record.saved(7.0, 2, "")
     assert disk.made == [] and disk.record.idle
     assert [one.event for one in disk.asked if isinstance(one, LogLine)] == [
