--- a/banklift/fleet/durable.py
+++ b/banklift/fleet/durable.py
@@ -39,9 +39,7 @@
         self.record = record
         self.emit = emit
         self.written: Record | None = None  # the record known to be on disk
-        self.waiting_calls: list[
-            Callable[[], None]
-        ] = []  # for the next write, which takes the record as it is then
+        self.waiting_calls: list[Callable[[], None]] = []  # made when the next write succeeds
         self.calls_in_flight: list[Callable[[], None]] = []  # made when the write in flight succeeds
         self.save_in_flight = 0  # number of the write in flight; 0: none
         self.saves_started = 0
--- a/tests/test_fleet_planted.py
+++ b/tests/test_fleet_planted.py
@@ -305,7 +305,7 @@
     def decide(self: voter.Voter, drive: driver.Drive) -> None:
         change = self.lease_table.change
         if change is not None and not drive.step_in_flight and self.now >= drive.started_at + change.patience:
-            self._step(drive, lambda old: abort(old, change.id, ("late",)))
+            self._commit_step(drive, lambda old: abort(old, change.id, ("late",)))
         else:
             real_decide(self, drive)
 
