--- a/banklift/fleet/links.py
+++ b/banklift/fleet/links.py
@@ -1,24 +1,27 @@
-"""The links of one member of a fleet: dialling, greeting, who is at the other end. Pure.
+"""The links of one member of a fleet: dialling, greeting, and who is at the other end. Pure.
 
-Both ends say `Hello` first, and a link whose ends don't belong together is ended with the reason (`Bye`),
-which is logged once. A link that broke is made again after a pause that is drawn and grows.
+The end that dialled says `Hello` first, and the other end answers with its own. Where the two don't belong together
+the link is ended with the reason (`Bye`), which is logged once. A link that broke is dialled again after a random pause
+that grows.
 
 | state of a link | event | next | what is sent |
 | --- | --- | --- | --- |
-| dialled | up | greeting | `Hello` |
+| dialled | connected | greeting | `Hello` |
 | accepted | - | greeting | - |
 | greeting | `Hello` that fits | greeted | `Hello`, from the end that accepted |
 | greeting | `Hello` that does not fit, another message, or silence | gone | `Bye` |
-| greeted | a message | greeted | what its owner answers |
-| greeted | `Hello` of the same name on another link | claimed | `RenewNow`, to make it give a word |
+| greeted | a message | greeted | what the owner answers |
+| greeted | `Hello` of its name and role on a new link, another incarnation | claimed | `RenewNow` |
+| greeted | `Hello` of its name and role on a new link, same incarnation | gone; the other link is greeted | `Bye` |
 | claimed | lost | gone; the other link is greeted | `Hello` there |
-| claimed | `PROVE` is over, a word came | greeted; the other link is gone | `Bye` there, for good |
-| claimed | `PROVE` is over, no word came | gone; the other link is greeted | `Bye` |
+| claimed | `CLAIM_TIMEOUT_SECONDS` are over, a message came | greeted; the other link is gone | `Bye` there, for good |
+| claimed | `CLAIM_TIMEOUT_SECONDS` are over, no message came | gone; the other link is greeted | `Bye` |
 | any | lost | gone | - |
 
-Two of one name. A restart is often quicker than the end of its old link; two processes by one name are a
-mistake. The older link is asked for a word, and if it gives one the newcomer is turned away for good and its
-program ends. A router and an aggregator may have one name: they are told apart by their role.
+Name conflicts. A restarted process often connects before the end of its old link is noticed, while two processes of one
+name are a mistake in the configuration. So the older link is asked for a sign of life. If it gives one, the newcomer is
+refused for good and its program ends. A router and an aggregator may have the same name, as their roles tell them
+apart.
 """
 
 from __future__ import annotations
@@ -42,16 +45,16 @@
 )
 from banklift.fleet.plan import Plan
 
-DIAL = (0.05, 1.0)  # seconds before a link is made again: at first, and at the most
-GREET = 5.0  # seconds in which the other end has to say who it is; thousands may come at once
-PROVE = 0.5  # seconds in which an older link of a name has to give a word
-MAX_LINKS = 16_384  # that one member takes
-MAX_LOGGED = 10_000  # reasons that are remembered as logged
+REDIAL_PAUSE_SECONDS = (0.05, 1.0)  # before a lost link is dialled again: the first pause, and the longest
+GREETING_TIMEOUT_SECONDS = 5.0  # for the other end's `Hello`; thousands of members may connect at once
+CLAIM_TIMEOUT_SECONDS = 0.5  # for a sign of life on the older link when another process claims its name
+MAX_LINKS = 16_384  # of one member
+MAX_LOGGED_REASONS = 10_000  # remembered, so that each is logged once
 
 
 @dataclass(frozen=True, slots=True)
 class Dial:
-    """Make a link to a member by its name."""
+    """Action: connect a link to the member of this name."""
 
     link: int
     peer: str
@@ -59,20 +62,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
+    """Action: write bytes to a link."""
+
     link: int
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Shut:
-    """Close it once what was written has gone out."""
+    """Action: close a link once all that was written to it has been sent."""
 
     link: int
 
 
 @dataclass(frozen=True, slots=True)
 class Ousted:
-    """This program can't be a part of the fleet; it has to end."""
+    """Action: end this program, as another member has refused it for good."""
 
     reason: str
 
@@ -82,40 +87,47 @@
 
 @dataclass(slots=True, eq=False)
 class Link:
+    """A connection to another member or to an operator, and what is known of the other end."""
+
     id: int
-    dialled: str = ""  # the member that was called
+    dialled: str = ""  # name of the member that was dialled; empty: the link was accepted
     up: bool = False
-    name: str = ""  # of the other end, once it has said so
+    name: str = ""  # of the other end, from its `Hello`
     role: Role = Role.ROUTER
     incarnation: int = 0
     greeted: bool = False
-    since: float = 0.0
-    prove_by: float = math.inf  # it has to give a word, as another one has come by its name
-    claim: Hello | None = None  # ... and this is that other one's
-    claimed_by: int = 0  # the link that waits for it
-    gave_word: bool = False  # since it was claimed
+    since: float = 0.0  # when it was dialled, or connected
+    claim_deadline: float = math.inf  # of the claim on its name by another link
+    claim: Hello | None = None  # the `Hello` of the link that claims its name
+    claimed_by: int = 0  # number of the link that claims its name
+    heard_since_claim: bool = False  # whether any message has come on it since the claim
     frames: Frames = field(default_factory=Frames)
 
     @property
     def operator(self) -> bool:
+        """Whether the other end is an operator's tool."""
         return self.greeted and self.role is Role.OPERATOR
 
 
 class Owner(Protocol):
-    """What a member does with its links."""
+    """The member that a set of links belongs to."""
 
     def link_changed(self, link: Link, up: bool) -> None:
-        """A greeted link is up, or gone."""
+        """A link has been greeted, or a greeted link is gone."""
 
     def message(self, link: Link, message: Message) -> None:
-        """A message on a greeted link. Errors: `Garbage` if it does not belong there."""
+        """Handle a message on a greeted link. Errors: `Garbage` if the sender may not send it."""
 
     def may_be_ousted(self) -> bool:
-        """Whether a clash of names may still end this program."""
+        """Whether a name conflict may still end this program."""
 
 
 class Links:
-    """`peers`: members that are dialled, all of them of `peer_role`. `accepts`: whether others may make links here."""
+    """All links of one member.
+
+    `peers`: members that it dials, all of them of `peer_role`. `accepts`: whether other members may dial this one.
+    Times are seconds on the member's own clock.
+    """
 
     def __init__(
         self,
@@ -129,39 +141,41 @@
     ) -> None:
         self.plan, self.role, self.incarnation, self.random = plan, role, incarnation, random
         self.peer_role, self.accepts = peer_role, accepts
-        self.owner: Owner
+        self.owner: Owner  # set by the owner itself
         self.by_id: dict[int, Link] = {}
         self.by_name: dict[tuple[Role, str], Link] = {}
-        self.ungreeted: dict[int, Link] = {}  # in the order of their time to greet
-        self.claimed: dict[int, Link] = {}  # in the order of their time to give a word
-        self.redial: dict[str, float] = {}  # peers without a link: when they are called
-        self.next_pause: dict[str, float] = dict.fromkeys(peers, DIAL[0])
-        self.numbers = 0
-        self.logged: set[tuple[str, str]] = set()
+        self.ungreeted: dict[int, Link] = {}  # in the order of their greeting timeouts
+        self.claimed: dict[int, Link] = {}  # in the order of their claim deadlines
+        self.redial_at: dict[str, float] = {}  # peers without a link: when they are dialled next
+        self.next_redial_pause: dict[str, float] = dict.fromkeys(peers, REDIAL_PAUSE_SECONDS[0])
+        self.last_link_number = 0
+        self.logged_reasons: set[tuple[str, str]] = set()  # pairs of peer and reason
         self.now = 0.0
         self.actions: list[Action] = []
 
     # ---- events
 
     def start(self, now: float) -> None:
+        """The process has started: dial all peers."""
         self.now = now
-        self.redial = dict.fromkeys(self.next_pause, now)
+        self.redial_at = dict.fromkeys(self.next_redial_pause, now)
         self._dial()
 
     def number(self) -> int:
-        """The number of a link that somebody else has made."""
-        self.numbers += 1
-        return self.numbers
+        """A new number, for a link that another member has dialled."""
+        self.last_link_number += 1
+        return self.last_link_number
 
     def accepted(self, now: float, number: int) -> None:
-        """Somebody has made a link here. Its number comes from `number`."""
+        """Another member has dialled this one. The link's number comes from `number`."""
         self.now = now
         link = self.by_id[number] = Link(number, up=True, since=now)
         self.ungreeted[number] = link
         if not self.accepts or len(self.by_id) > MAX_LINKS:
-            self.end(link, "too many links" if self.accepts else "no voter and no aggregator")
+            self.end(link, "too many links" if self.accepts else "only voters and aggregators accept links")
 
     def connected(self, now: float, number: int) -> None:
+        """A dialled link is connected."""
         self.now = now
         link = self.by_id.get(number)
         if link is not None:
@@ -171,6 +185,7 @@
             self.write(link, self._hello())
 
     def data(self, now: float, number: int, data: bytes) -> None:
+        """Bytes came on a link. A protocol error ends the link."""
         self.now = now
         link = self.by_id.get(number)
         if link is None:
@@ -178,32 +193,34 @@
         try:
             for message in link.frames.feed(data):
                 if number in self.by_id:
-                    self._message(link, message)
+                    self._dispatch(link, message)
         except Garbage as garbage:
-            self.end(link, f"garbage: {garbage}")
+            self.end(link, f"protocol error: {garbage}")
 
     def lost(self, now: float, number: int, reason: str) -> None:
+        """A link is gone, or could not be connected."""
         self.now = now
         link = self.by_id.get(number)
         if link is not None:
-            self._gone(link)
+            self._remove(link)
 
     def wake(self, now: float) -> None:
+        """`due` has come: end links whose timeouts are over, and dial again."""
         self.now = now
-        while self.ungreeted and next(iter(self.ungreeted.values())).since + GREET <= now:
-            self.end(next(iter(self.ungreeted.values())), "no word of who it is")
-        while self.claimed and next(iter(self.claimed.values())).prove_by <= now:
-            self._claim_is_due(next(iter(self.claimed.values())))
+        while self.ungreeted and next(iter(self.ungreeted.values())).since + GREETING_TIMEOUT_SECONDS <= now:
+            self.end(next(iter(self.ungreeted.values())), "no Hello before the timeout")
+        while self.claimed and next(iter(self.claimed.values())).claim_deadline <= now:
+            self._resolve_claim(next(iter(self.claimed.values())))
         self._dial()
 
     @property
     def due(self) -> float:
         """When `wake` has something to do."""
-        due = min(self.redial.values(), default=math.inf)
+        due = min(self.redial_at.values(), default=math.inf)
         if self.ungreeted:
-            due = min(due, next(iter(self.ungreeted.values())).since + GREET)
+            due = min(due, next(iter(self.ungreeted.values())).since + GREETING_TIMEOUT_SECONDS)
         if self.claimed:
-            due = min(due, next(iter(self.claimed.values())).prove_by)
+            due = min(due, next(iter(self.claimed.values())).claim_deadline)
         return due
 
     # ---- for the owner
@@ -213,25 +230,30 @@
         return self.by_name.get((role, name))
 
     def write(self, link: Link, message: Message) -> None:
+        """Send a message, if the link is up."""
         if link.up:
             self.actions.append(Write(link.id, encode(message)))
 
     def end(self, link: Link, reason: str, clash: bool = False) -> None:
-        """End a link with a reason that the other end is told."""
+        """End a link, and tell the other end why. `clash`: as in `Bye`."""
         self._log("link ended", link, reason)
         self.write(link, Bye(reason, clash))
         self.actions.append(Shut(link.id))
-        self._gone(link)
+        self._remove(link)
 
     def useful(self, link: Link) -> None:
-        """A dialled link has brought an answer: should it break, it is made again soon. One that was merely
-        greeted says nothing of that, and who is overloaded would be called ever again."""
+        """A dialled link has brought an answer: if it breaks, the first redial comes after the shortest pause.
+
+        A greeting alone does not count, or a member that is overloaded would be dialled again at the shortest pause
+        for ever.
+        """
         if link.dialled:
-            self.next_pause[link.dialled] = DIAL[0]
+            self.next_redial_pause[link.dialled] = REDIAL_PAUSE_SECONDS[0]
 
     # ---- parts
 
     def _hello(self) -> Hello:
+        """This member's `Hello`."""
         plan = self.plan
         return Hello(
             VERSION,
@@ -245,121 +267,134 @@
         )
 
     def _dial(self) -> None:
-        for peer, when in list(self.redial.items()):
+        """Dial the peers whose pause is over."""
+        for peer, when in list(self.redial_at.items()):
             if when <= self.now:
-                del self.redial[peer]
+                del self.redial_at[peer]
                 link = Link(self.number(), dialled=peer, since=self.now)
                 self.by_id[link.id] = self.ungreeted[link.id] = link
                 self.actions.append(Dial(link.id, peer))
 
     def _log(self, event: str, link: Link, reason: str) -> None:
+        """Log an event with its reason, once for each peer and reason."""
         who = link.name or link.dialled or "somebody"
-        if (who, reason) not in self.logged and len(self.logged) < MAX_LOGGED:
-            self.logged.add((who, reason))
+        if (who, reason) not in self.logged_reasons and len(self.logged_reasons) < MAX_LOGGED_REASONS:
+            self.logged_reasons.add((who, reason))
             self.actions.append(LogLine(event, {"who": who, "reason": reason}))
 
-    def _gone(self, link: Link) -> None:
+    def _remove(self, link: Link) -> None:
+        """Remove a link; greet the link that claims its name, or plan the next dial."""
         self.by_id.pop(link.id, None)
         self.ungreeted.pop(link.id, None)
         self.claimed.pop(link.id, None)
-        if link.claim is not None:  # the newcomer has the name to itself
+        if link.claim is not None:  # the link that claims its name may have it now
             newcomer = self.by_id.get(link.claimed_by)
             if newcomer is not None and not newcomer.greeted:
-                self._forget(link)
-                self._greeted(newcomer, link.claim)
+                self._unregister(link)
+                self._finish_greeting(newcomer, link.claim)
                 return
-        self._forget(link)
+        self._unregister(link)
         if link.dialled:
-            pause = self.next_pause[link.dialled]
-            self.redial[link.dialled] = self.now + pause * self.random.uniform(0.5, 1.0)
-            self.next_pause[link.dialled] = min(DIAL[1], 2 * pause)
+            pause = self.next_redial_pause[link.dialled]
+            self.redial_at[link.dialled] = self.now + pause * self.random.uniform(0.5, 1.0)
+            self.next_redial_pause[link.dialled] = min(REDIAL_PAUSE_SECONDS[1], 2 * pause)
 
-    def _forget(self, link: Link) -> None:
+    def _unregister(self, link: Link) -> None:
+        """Take a greeted link out of the index by name, and tell the owner."""
         key = link.role, link.name
         if link.greeted and (link.operator or self.by_name.get(key) is link):
             if not link.operator:
                 del self.by_name[key]
             self.owner.link_changed(link, False)
 
-    def _message(self, link: Link, message: Message) -> None:
-        link.gave_word = True
+    def _dispatch(self, link: Link, message: Message) -> None:
+        """Handle a message on any link. Errors: `Garbage` for one that may not come there."""
+        link.heard_since_claim = True
         match message:
             case Bye(reason, clash):
-                self._turned_away(link, reason, clash)
+                self._handle_bye(link, reason, clash)
             case Hello() if not link.greeted:
-                self._hello_came(link, message)
+                self._handle_hello(link, message)
             case _ if not link.greeted:
                 raise Garbage(f"{type(message).__name__} before Hello")
             case _:
                 self.owner.message(link, message)
 
-    def _turned_away(self, link: Link, reason: str, clash: bool) -> None:
+    def _handle_bye(self, link: Link, reason: str, clash: bool) -> None:
+        """The other end has ended the link with `Bye`."""
         self._log("turned away", link, reason)
         if clash and self.owner.may_be_ousted():
             self.actions.append(Ousted(f"{link.name or link.dialled}: {reason}"))
         self.actions.append(Shut(link.id))
-        self._gone(link)
+        self._remove(link)
 
-    def _hello_came(self, link: Link, hello: Hello) -> None:
-        faults = self._faults(link, hello)
-        if faults:
-            self.end(link, "; ".join(faults), clash=True)
+    def _handle_hello(self, link: Link, hello: Hello) -> None:
+        """Handle the other end's `Hello`: refuse it, greet it, or let it claim the name of an older link."""
+        mismatches = self._mismatches(link, hello)
+        if mismatches:
+            self.end(link, "; ".join(mismatches), clash=True)
             return
         older = None if link.dialled or not hello.name else self.by_name.get((hello.role, hello.name))
         if older is not None and older.incarnation != hello.incarnation:
-            self._claim(older, link, hello)
+            self._start_claim(older, link, hello)
             return
         if older is not None:
-            self.end(older, "it has made a new link")
-        self._greeted(link, hello)
+            self.end(older, "the member has made a new link")
+        self._finish_greeting(link, hello)
 
-    def _claim(self, older: Link, newcomer: Link, hello: Hello) -> None:
-        """A newcomer has come by the name of an older link, which has to give a word."""
+    def _start_claim(self, older: Link, newcomer: Link, hello: Hello) -> None:
+        """A new link claims the name of an older one, which has to give a sign of life before the deadline."""
         if older.claim is not None and older.claimed_by in self.by_id:
-            self.end(newcomer, f"name: {hello.name!r} is being claimed by another one")  # it may come again
+            # Without `clash`, so the newcomer may come again.
+            self.end(newcomer, f"name: {hello.name!r} is being claimed by another link")
             return
         older.claim, older.claimed_by = hello, newcomer.id
-        older.gave_word, older.prove_by = False, self.now + PROVE
+        older.heard_since_claim, older.claim_deadline = False, self.now + CLAIM_TIMEOUT_SECONDS
         self.claimed.pop(older.id, None)
         self.claimed[older.id] = older
         self.ungreeted.pop(newcomer.id, None)
         self.write(older, RenewNow())
 
-    def _claim_is_due(self, link: Link) -> None:
-        """The older link has had its time: it stays if it gave a word, or if the newcomer has gone before."""
+    def _resolve_claim(self, link: Link) -> None:
+        """The claim on a link is due: the link stays if a message came on it, or if the newcomer has gone."""
         newcomer = self.by_id.get(link.claimed_by)
-        if newcomer is not None and not link.gave_word:
-            self.end(link, "another member has its name, and it gives no word")
+        if newcomer is not None and not link.heard_since_claim:
+            self.end(link, "another process claims its name, and no message came on this link")
             return
-        link.claim, link.prove_by = None, math.inf
+        link.claim, link.claim_deadline = None, math.inf
         self.claimed.pop(link.id, None)
         if newcomer is not None:
             self.end(newcomer, f"name: a {link.role} {link.name!r} is here already", clash=True)
 
-    def _faults(self, link: Link, hello: Hello) -> list[str]:
-        """Why both ends don't belong together; nothing if they do."""
-        plan, faults = self.plan, []
+    def _mismatches(self, link: Link, hello: Hello) -> list[str]:
+        """Why both ends don't belong together, a text for each mismatch; empty if they do."""
+        plan, mismatches = self.plan, []
         if hello.version != VERSION:
-            faults.append(f"version {hello.version} of the fleet's messages, here it is {VERSION}")
+            mismatches.append(f"version {hello.version} of the fleet's messages, here it is {VERSION}")
         if hello.fleet != plan.fleet:
-            faults.append(f"fleet {hello.fleet!r}, here it is {plan.fleet!r}")
+            mismatches.append(f"fleet {hello.fleet!r}, here it is {plan.fleet!r}")
         if not hello.name:
-            return faults
+            return mismatches
         if hello.voters != plan.voters:
-            faults.append(f"fleet.voters: {', '.join(hello.voters)}; here they are {', '.join(plan.voters)}")
+            mismatches.append(
+                f"fleet.voters: {', '.join(hello.voters)}; here they are {', '.join(plan.voters)}"
+            )
         if hello.lease != plan.lease:
-            faults.append(f"fleet.lease: {hello.lease:g} s, here it is {plan.lease:g} s")
+            mismatches.append(f"fleet.lease: {hello.lease:g} s, here it is {plan.lease:g} s")
         if hello.sub_lease != plan.sub_lease:
-            faults.append(f"fleet.sub_lease: {hello.sub_lease:g} s, here it is {plan.sub_lease:g} s")
+            mismatches.append(f"fleet.sub_lease: {hello.sub_lease:g} s, here it is {plan.sub_lease:g} s")
         if link.dialled and hello.name != link.dialled:
-            faults.append(f"{hello.name!r} answers where {link.dialled!r} was called")
+            mismatches.append(f"{hello.name!r} answers where {link.dialled!r} was called")
         elif link.dialled and hello.role is not self.peer_role:
-            faults.append(f"{hello.name!r} answers as {hello.role}, and the one called is {self.peer_role}")
+            mismatches.append(
+                f"{hello.name!r} answers as {hello.role}, and the one called is {self.peer_role}"
+            )
         if (hello.role, hello.name) == (self.role, plan.name):
-            faults.append(f"name: {hello.name!r} is this {self.role}'s own")
-        return faults
+            mismatches.append(f"name: {hello.name!r} is this {self.role}'s own")
+        return mismatches
 
-    def _greeted(self, link: Link, hello: Hello) -> None:
+    def _finish_greeting(self, link: Link, hello: Hello) -> None:
+        """The other end is known and fits: finish the greeting, and tell the owner."""
         link.name, link.incarnation, link.greeted = hello.name, hello.incarnation, True
         link.role = hello.role if hello.name else Role.OPERATOR
         self.ungreeted.pop(link.id, None)
--- a/banklift/fleet/messages.py
+++ b/banklift/fleet/messages.py
@@ -357,7 +357,7 @@
         while len(data) >= end:
             length = int.from_bytes(data[begin : begin + LENGTH_BYTES], "big")
             if length > MAX_FRAME_BYTES:
-                raise Garbage(f"a frame of {length} bytes")
+                raise Garbage(f"frame of {length} bytes is too long")
             end = begin + HEADER_BYTES + length
             if len(data) < end:
                 break
@@ -374,9 +374,9 @@
 def _decode_body(checksum: bytes, body: bytes) -> Message:
     """The message of one frame. Errors: `Garbage` if the checksum or the body is wrong."""
     if checksum != _checksum(body):
-        raise Garbage("a frame that was altered on its way")
+        raise Garbage("frame with a wrong checksum")
     try:
         message: Message = _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise Garbage(f"a frame that can't be read: {error}") from None
+        raise Garbage(f"frame can't be decoded: {error}") from None
     return message
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -371,10 +371,10 @@
         link = driven.links["a0"]
         driven.greet("a0")
         driven.carry(driven.member.lost(driven.now, link, "closed"))
-        pauses.append(driven.member.links.redial["a0"] - driven.now)
+        pauses.append(driven.member.links.redial_at["a0"] - driven.now)
         while driven.links["a0"] == link:
             driven.wake()
     assert pauses[3] > 2 * pauses[0]
     served(driven, driven.member.leases.numbers + 1)  # type: ignore[attr-defined]
     driven.carry(driven.member.lost(driven.now, driven.links["a0"], "closed"))
-    assert driven.member.links.redial["a0"] - driven.now <= 0.05
+    assert driven.member.links.redial_at["a0"] - driven.now <= 0.05
