--- a/banklift/fleet/__init__.py
+++ b/banklift/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Pure: routers that know one another: who they are, what they agree on, leases, the life of a change of policy."""
+"""Pure: the agreement between the members of a fleet: voters, leases, and changes of policy."""
--- a/banklift/fleet/actions.py
+++ b/banklift/fleet/actions.py
@@ -1,4 +1,4 @@
-"""Actions that several state machines of the fleet ask their surroundings for."""
+"""Actions that several state machines of the fleet return for their environment to carry out."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """Write one line to the log."""
+    """Action: write one line to the log."""
 
     event: str
     fields: dict[str, object]
--- a/banklift/fleet/member.py
+++ b/banklift/fleet/member.py
@@ -1,7 +1,7 @@
-"""What routers and aggregators have in common as members of a fleet: events in, actions out. Pure.
+"""What routers and aggregators share as members of a fleet: events in, actions out. Pure.
 
-Each event method takes the time on the member's own clock and returns what its surroundings (net/fleet.py, or
-the world in virtual time) are to do, in order. `due` says when `wake` is to be called.
+Each event method takes the time on the member's own clock, in seconds, and returns the actions that its environment
+(net/fleet.py, or the simulation in virtual time) has to carry out, in order. `due` says when to call `wake`.
 """
 
 from __future__ import annotations
@@ -22,8 +22,11 @@
 
 
 class Member:
-    """`incarnation`: larger than that of any earlier process by this name. `peers`: members that are dialled,
-    of `peer_role`. `accepts`: whether others may make links here."""
+    """A member of a fleet, with its links.
+
+    `incarnation`: larger than that of any earlier process of this name. `seed`: of its random numbers. `peers`: members
+    that it dials, all of them of `peer_role`. `accepts`: whether other members may dial this one.
+    """
 
     def __init__(
         self,
@@ -40,8 +43,8 @@
         self.random = Random(seed)
         self.links = Links(plan, role, incarnation, self.random, peers, peer_role, accepts)
         self.links.owner = self
-        self.actions: list[Action] = self.links.actions  # type: ignore[assignment]  # one list, so that order is kept
-        self.inbox: deque[Callable[[], None]] = deque()  # messages to itself
+        self.actions: list[Action] = self.links.actions  # type: ignore[assignment]  # one list keeps the order
+        self.inbox: deque[Callable[[], None]] = deque()  # messages to this member itself
         self.now = 0.0
         self._due: float | None = None
 
@@ -52,56 +55,56 @@
         self.now = now
         self.links.start(now)
         self._started()
-        return self._out()
+        return self._take_actions()
 
     def number(self) -> int:
-        """The number of a link that somebody else has made."""
+        """A new number, for a link that another member has dialled."""
         return self.links.number()
 
     def accepted(self, now: float, link: int) -> list[Action]:
-        """Somebody has made a link here. Its number comes from `number`."""
+        """Another member has dialled this one. The link's number comes from `number`."""
         self.now = now
         self.links.accepted(now, link)
-        return self._out()
+        return self._take_actions()
 
     def connected(self, now: float, link: int) -> list[Action]:
-        """A link that was dialled is up."""
+        """A dialled link is connected."""
         self.now = now
         self.links.connected(now, link)
-        return self._out()
+        return self._take_actions()
 
     def data(self, now: float, link: int, data: bytes) -> list[Action]:
         """Bytes came on a link."""
         self.now = now
         self.links.data(now, link, data)
-        return self._out()
+        return self._take_actions()
 
     def lost(self, now: float, link: int, reason: str) -> list[Action]:
-        """A link is gone, or could not be made."""
+        """A link is gone, or could not be connected."""
         self.now = now
         self.links.lost(now, link, reason)
-        return self._out()
+        return self._take_actions()
 
     def saved(self, now: float, number: int, error: str) -> list[Action]:
-        """A write to disk is done; `error` is empty if it went well."""
+        """A write to disk is done; `error` is empty on success."""
         self.now = now
-        return self._out()
+        return self._take_actions()
 
     def wake(self, now: float) -> list[Action]:
-        """It is `due`."""
+        """`due` has come: run the timers that are over."""
         self.now = now
         self.links.wake(now)
         self._woken()
-        return self._out()
+        return self._take_actions()
 
     def leave(self, now: float) -> list[Action]:
-        """Graceful shutdown: give back what it holds."""
+        """Graceful shutdown: give back the leases that the member holds."""
         self.now = now
-        return self._out()
+        return self._take_actions()
 
     @property
     def due(self) -> float:
-        """When `wake` has something to do; found anew after each event."""
+        """When `wake` has something to do; may change with each event."""
         if self._due is None:
             self._due = min(self.links.due, self._own_due())
         return self._due
@@ -109,31 +112,34 @@
     # ---- for subclasses
 
     def _own_due(self) -> float:
-        """When a part other than the links has something to do."""
+        """When a part of the subclass, other than the links, has something to do."""
         raise NotImplementedError
 
     def _started(self) -> None:
+        """The process has started: start the parts of the subclass."""
         return
 
     def _woken(self) -> None:
+        """Run the timers of the subclass's parts."""
         return
 
     def link_changed(self, link: Link, up: bool) -> None:
-        """A greeted link is up, or gone."""
+        """A link has been greeted, or a greeted link is gone."""
         raise NotImplementedError
 
     def message(self, link: Link, message: Message) -> None:
-        """A message on a greeted link."""
+        """Handle a message on a greeted link. Errors: `Garbage` if the sender may not send it."""
         raise NotImplementedError
 
     def may_be_ousted(self) -> bool:
-        """Whether a clash of names may still end this program."""
+        """Whether a name conflict may still end this program."""
         raise NotImplementedError
 
-    def _out(self) -> list[Action]:
+    def _take_actions(self) -> list[Action]:
+        """Handle the messages to this member itself, then return the actions of this event."""
         while self.inbox:
             self.inbox.popleft()()
-        done = list(self.actions)
+        taken = list(self.actions)
         self.actions.clear()
         self._due = None
-        return done
+        return taken
--- a/banklift/fleet/node.py
+++ b/banklift/fleet/node.py
@@ -1,12 +1,12 @@
-"""One router of a fleet: its links, its leases and, if it is one, its voter, as one machine without I/O.
+"""One router of a fleet: its links, its leases and, if it is a voter, its voter, as one state machine without I/O.
 
-A router has a link to each of its grantors and to nobody else: to every voter, or to the aggregators that it
-leases from. A pair of voters has one, made by the one that stands later in the list. A voter that is this
-router itself is spoken to in place, by the same messages. How links are made and who may be at their other end
-is told in links.py.
+A router has a link to each of its grantors and to nobody else. Its grantors are all voters, or the aggregators that it
+leases from. Two voters share one link, which the one that comes later in the list of voters dials. A router that is a
+voter exchanges the same messages with itself directly, without a link. How links are made and who may be at their other
+end is documented in links.py.
 
-Who may take requests is told by `EpochAdopted` and `LeaseExtended` (lease.py); nothing else of this reaches
-the machine of the router.
+`EpochAdopted` and `LeaseExtended` (lease.py) tell the router's proxy until when it may take requests, and under which
+policy; no other event of the fleet reaches the proxy.
 """
 
 from __future__ import annotations
@@ -37,8 +37,11 @@
 
 
 class Node(Member):
-    """`record` and `absent`: what a voter's disk held (`Voter`); `policy`: of this router's file, with which a
-    fleet begins; `check`: what is against a policy here."""
+    """One router of a fleet.
+
+    `seed`: of its random numbers. `policy`: from this router's file; a new fleet begins with it. `check`: returns the
+    reasons against a policy on this router. `record` and `absent`: what a voter's disk held (see `Voter`).
+    """
 
     def __init__(
         self,
@@ -75,59 +78,66 @@
     # ---- events
 
     def saved(self, now: float, number: int, error: str) -> list[Action]:
+        """A write of the voter's record is done; `error` is empty on success."""
         self.now = now
         assert self.voter is not None
-        self._voter(self.voter.saved(now, number, error))
-        return self._out()
+        self._run_voter_actions(self.voter.saved(now, number, error))
+        return self._take_actions()
 
     def leave(self, now: float) -> list[Action]:
-        """Take no request from now on, and give all leases back."""
+        """Graceful shutdown: take no requests from now on, and give all leases back."""
         self.now = now
-        self._leases(self.leases.leave(now))
-        return self._out()
+        self._run_lease_actions(self.leases.leave(now))
+        return self._take_actions()
 
     def _own_due(self) -> float:
+        """When the leases or the voter have something to do."""
         due = self.leases.due(self.now)
         return min(due, self.voter.due(self.now)) if self.voter is not None else due
 
     def _started(self) -> None:
+        """Start the voter, and lease from it."""
         if self.voter is not None:
-            self._voter(self.voter.start(self.now))
-            self._leases(self.leases.up(self.now, self.plan.name))
+            self._run_voter_actions(self.voter.start(self.now))
+            self._run_lease_actions(self.leases.up(self.now, self.plan.name))
 
     def _woken(self) -> None:
-        self._leases(
-            self.leases.wake(self.now)
-        )  # also where an epoch begins, which is due only before that moment
+        """Run the timers of the leases and of the voter."""
+        # Always: an epoch may begin at this moment, which `due` no longer names once it has come.
+        self._run_lease_actions(self.leases.wake(self.now))
         if self.voter is not None and self.voter.due(self.now) <= self.now:
-            self._voter(self.voter.wake(self.now))
+            self._run_voter_actions(self.voter.wake(self.now))
 
     # ---- links
 
     def may_be_ousted(self) -> bool:
+        """A router that serves an epoch keeps running through a name conflict."""
         return not self.leases.serving
 
     def link_changed(self, link: Link, up: bool) -> None:
+        """Tell the leases and the voter of a link that is up, or gone."""
         if link.operator:
             if self.voter is not None:
-                self._voter(self.voter.operator(self.now, link.id, up))
+                self._run_voter_actions(self.voter.operator(self.now, link.id, up))
             return
         if self._is_grantor(link):
-            change = self.leases.up if up else self.leases.down
-            self._leases(change(self.now, link.name))
+            notify = self.leases.up if up else self.leases.down
+            self._run_lease_actions(notify(self.now, link.name))
         if self.voter is not None and link.role is Role.ROUTER and link.name in self.plan.voters:
-            self._voter(self.voter.link(self.now, link.name, up))
+            self._run_voter_actions(self.voter.link(self.now, link.name, up))
 
     def _is_grantor(self, link: Link) -> bool:
+        """Whether the other end grants leases to this router."""
         return link.role is self.grantor_role and link.name in self.leases.grantors
 
     def message(self, link: Link, message: Message) -> None:
+        """Hand a message to the part it is for. Errors: `Garbage` if the sender may not send it."""
         match message:
             case LeaseGrant() if self._is_grantor(link):
                 self.links.useful(link)
-                self._leases(self.leases.granted(self.now, link.name, message))
+                self._run_lease_actions(self.leases.granted(self.now, link.name, message))
             case RenewNow() if self._is_grantor(link):
-                self._leases(self.leases.renew_now(self.now, link.name, message))
+                self._run_lease_actions(self.leases.renew_now(self.now, link.name, message))
             case RenewNow():
                 return
             case _ if self.voter is None:
@@ -136,21 +146,22 @@
                 self._operator_message(self.voter, link, message)
             case LeaseRequest():
                 grant, actions = self.voter.request(self.now, link.name, link.incarnation, message)
-                self._voter(actions)
+                self._run_voter_actions(actions)
                 if grant is not None:
                     self.links.write(link, grant)
             case LeaseRelease():
-                self._voter(self.voter.release(self.now, link.name, link.incarnation, message))
+                self._run_voter_actions(self.voter.release(self.now, link.name, link.incarnation, message))
             case _ if link.role is Role.ROUTER and link.name in self.plan.voters:
                 self.links.useful(link)
-                self._voter(self.voter.message(self.now, link.name, message))
+                self._run_voter_actions(self.voter.message(self.now, link.name, message))
             case _:
                 raise Garbage(f"{type(message).__name__} from {link.name!r}")
 
     def _operator_message(self, voter: Voter, link: Link, message: Message) -> None:
+        """Handle an operator's message. Errors: `Garbage` if operators may not send it."""
         match message:
             case Set():
-                self._voter(voter.set(self.now, link.id, message))
+                self._run_voter_actions(voter.set(self.now, link.id, message))
             case Show():
                 self.links.write(link, voter.show(self.now))
             case _:
@@ -158,7 +169,8 @@
 
     # ---- parts
 
-    def _leases(self, actions: list[HolderAction]) -> None:
+    def _run_lease_actions(self, actions: list[HolderAction]) -> None:
+        """Carry out the actions of the leases."""
         for action in actions:
             match action:
                 case SendToGrantor(grantor, message):
@@ -171,23 +183,26 @@
                     self.actions.append(action)
 
     def _send_to_grantor(self, grantor: str, message: LeaseRequest | LeaseRelease) -> None:
+        """Send to a grantor; a message to this router's own voter goes through the inbox."""
         if grantor == self.plan.name and self.voter is not None:
-            self.inbox.append(lambda: self._ask_self(message))
+            self.inbox.append(lambda: self._send_to_own_voter(message))
         elif (link := self.links.to(self.grantor_role, grantor)) is not None:
             self.links.write(link, message)
 
-    def _ask_self(self, message: LeaseRequest | LeaseRelease) -> None:
+    def _send_to_own_voter(self, message: LeaseRequest | LeaseRelease) -> None:
+        """Hand a message of the leases to this router's own voter."""
         assert self.voter is not None
         name, incarnation = self.plan.name, self.incarnation
         if isinstance(message, LeaseRelease):
-            self._voter(self.voter.release(self.now, name, incarnation, message))
+            self._run_voter_actions(self.voter.release(self.now, name, incarnation, message))
             return
         grant, actions = self.voter.request(self.now, name, incarnation, message)
-        self._voter(actions)
+        self._run_voter_actions(actions)
         if grant is not None:
-            self._leases(self.leases.granted(self.now, name, grant))
+            self._run_lease_actions(self.leases.granted(self.now, name, grant))
 
-    def _voter(self, actions: list[voting.Action]) -> None:
+    def _run_voter_actions(self, actions: list[voting.Action]) -> None:
+        """Carry out the actions of the voter."""
         for action in actions:
             match action:
                 case voting.ToVoter(voter, message):
@@ -200,7 +215,9 @@
                     for link in self.links.by_name.values():
                         self.links.write(link, RenewNow())
                     self.inbox.append(
-                        lambda: self._leases(self.leases.renew_now(self.now, self.plan.name, RenewNow()))
+                        lambda: self._run_lease_actions(
+                            self.leases.renew_now(self.now, self.plan.name, RenewNow())
+                        )
                     )
                 case LogLine() | Save():
                     self.actions.append(action)
--- a/banklift/fleet/plan.py
+++ b/banklift/fleet/plan.py
@@ -1,4 +1,4 @@
-"""What all routers, voters and aggregators of a fleet have to agree on, and who one of them is. Pure."""
+"""The configuration of a fleet that all its members have to agree on, as one member sees it. Pure."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 class Plan:
     """One member's view of its fleet.
 
-    `lease`: seconds that a voter grants. `drift`: how far two clocks may differ in rate, as a part.
-    `aggregators`: those that this router leases from, the preferred one first; empty: it leases from the
+    `name`: of this member. `lease`: seconds that a voter grants. `drift`: how far two clocks may differ in rate, as a
+    fraction. `aggregators`: those that this router leases from, the preferred one first; empty if it leases from the
     voters. `sub_lease`: seconds that an aggregator grants; zero in a fleet without aggregators.
     """
 
--- a/banklift/fleet/policies.py
+++ b/banklift/fleet/policies.py
@@ -1,4 +1,4 @@
-"""Texts of policies that a lease holder keeps, by digest, and what its own check says of them. Pure."""
+"""A lease holder's cache of policy texts by digest, with the results of its own check. Pure."""
 
 from __future__ import annotations
 
@@ -6,25 +6,28 @@
 
 from banklift.fleet.state import digest
 
-MAX_POLICIES = 4  # texts that are kept beyond those in use
+MAX_POLICIES = 4  # texts kept; more only while more are in use
 
 Check = Callable[[bytes], tuple[str, ...]]
 
 
 class PolicyCache:
-    """`check` says what is against a policy, nothing if it can be served. Each text is checked once."""
+    """Policy texts and verdicts by digest.
+
+    `check`: returns the reasons against a policy, empty if it can be served. Each text is checked once.
+    """
 
     def __init__(self, check: Check) -> None:
         self.check = check
-        self.texts: dict[str, bytes] = {}  # the newest last
+        self.texts: dict[str, bytes] = {}  # by digest, the newest last
         self.verdicts: dict[str, tuple[str, ...]] = {}
 
     def keep(self, text: bytes, in_use: Iterable[str]) -> None:
-        """Add a text; the oldest of those that are not in use make room."""
-        known = digest(text)
-        self.texts.pop(known, None)
-        self.texts[known] = text
-        kept = {known, *in_use}
+        """Add a text; the oldest ones whose digest is not in `in_use` make room."""
+        policy_digest = digest(text)
+        self.texts.pop(policy_digest, None)
+        self.texts[policy_digest] = text
+        kept = {policy_digest, *in_use}
         for old in list(self.texts):
             if len(self.texts) <= MAX_POLICIES:
                 break
@@ -32,8 +35,8 @@
                 del self.texts[old]
                 self.verdicts.pop(old, None)
 
-    def verdict(self, known: str) -> tuple[str, ...]:
-        """Reasons against a policy whose text is kept."""
-        if known not in self.verdicts:
-            self.verdicts[known] = self.check(self.texts[known])
-        return self.verdicts[known]
+    def verdict(self, policy_digest: str) -> tuple[str, ...]:
+        """Reasons against a policy, by its digest. Errors: `KeyError` if its text is not kept."""
+        if policy_digest not in self.verdicts:
+            self.verdicts[policy_digest] = self.check(self.texts[policy_digest])
+        return self.verdicts[policy_digest]
--- a/banklift/store/__init__.py
+++ b/banklift/store/__init__.py
@@ -1,1 +1,1 @@
-"""What must survive a crash and a disk that lies."""
+"""Durable storage of small states: safe against crashes, with damage detected."""
--- a/banklift/store/slots.py
+++ b/banklift/store/slots.py
@@ -1,21 +1,22 @@
-"""A small state on disk, whole or not at all: two files written in turn, each with its generation and a checksum.
+"""Storage of a small state that is replaced as a whole: two files written in turn, with generation and checksum.
 
-Theory of operation. A save writes the whole state into the file that does not hold the newest one, makes the disk keep
-it (fsync of the file, and of the folder where the file is new), and only then counts as done. A crash at any point
-leaves the other file as it was. A load reads both and takes the newest that is whole.
+Theory of operation. A save writes the whole state to the file that does not hold the newest one and calls fsync on the
+file, and on the folder where the file is new; only then does the save count as done. A crash at any point leaves the
+other file as it was. A load reads both files and takes the newest one that is whole.
 
-| what the files hold | `load` says |
+| content of the files | result of `load` |
 | --- | --- |
 | no file at all | absent |
 | at least one that is whole | the newest of these |
-| files, and none that is whole | damaged |
+| files, none of which is whole | damaged |
 
-What a load can't tell: that the disk as a whole was set back to an earlier day, that a file it wrote last was damaged
-and the one before is taken, or that a sync lied. Who can't bear that has to ask somebody else (fleet/register.py does).
+A load can't tell that the whole disk was rolled back to an earlier state, that the file written last was damaged so
+that the one before it is taken, or that an fsync was not honoured. A caller that can't bear that has to ask other
+machines (fleet/register.py does).
 
-Weighed against SQLite (apsw): one value of some kilobytes, written as a whole a few times an hour, needs neither pages
-nor a log; SQLite checks no sums by default; and two files can be tried out with a cut at every byte. docs/fleet.md has
-more.
+Compared with SQLite (apsw): one value of some kilobytes, written as a whole a few times an hour, needs neither pages
+nor a log; SQLite verifies no checksums by default; and two files can be tested with a cut at every byte. docs/fleet.md
+has more.
 """
 
 from __future__ import annotations
@@ -27,21 +28,23 @@
 from pathlib import Path
 
 MAGIC = b"BANKLIFT STATE 1\n"
-HEAD = len(MAGIC) + 8 + 8  # and the generation, and the length
-SUM = 16  # bytes of the checksum, at the end
-NAMES = ("state.a", "state.b")
-LIMIT = 64 * 1024 * 1024  # bytes of a state
+GENERATION_BYTES = 8
+LENGTH_BYTES = 8
+HEADER_BYTES = len(MAGIC) + GENERATION_BYTES + LENGTH_BYTES
+CHECKSUM_BYTES = 16  # at the end of a file
+FILE_NAMES = ("state.a", "state.b")
+MAX_FILE_BYTES = 64 * 1024 * 1024
 
 
 class StoreError(Exception):
-    """The state can't be read or written. `kind`: full, read-only, not a folder, or failed."""
+    """Raised where the state can't be read or written. `kind`: full, read-only, not a folder, or failed."""
 
     def __init__(self, kind: str, text: str) -> None:
         super().__init__(f"{kind}: {text}")
         self.kind = kind
 
 
-KINDS = {
+ERROR_KINDS = {
     errno.ENOSPC: "full",
     errno.EDQUOT: "full",
     errno.EROFS: "read-only",
@@ -54,8 +57,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Loaded:
-    """`content` is None if there is none that is whole; `absent` if there never was any file. `damaged` names files
-    that are not whole."""
+    """The result of a load.
+
+    `content`: None if no file is whole. `generation`: of the content, 0 without one. `absent`: there is no file at all.
+    `damaged`: names of the files that are not whole.
+    """
 
     content: bytes | None
     generation: int
@@ -64,69 +70,76 @@
 
 
 def pack(generation: int, content: bytes) -> bytes:
-    head = MAGIC + generation.to_bytes(8, "big") + len(content).to_bytes(8, "big")
-    return head + content + hashlib.blake2b(head + content, digest_size=SUM).digest()
+    """The bytes of a file: magic line, generation, length of the content, content, checksum."""
+    header = MAGIC + generation.to_bytes(GENERATION_BYTES, "big") + len(content).to_bytes(LENGTH_BYTES, "big")
+    return header + content + hashlib.blake2b(header + content, digest_size=CHECKSUM_BYTES).digest()
 
 
 def unpack(data: bytes) -> tuple[int, bytes] | None:
-    """Generation and content; None if it is not whole."""
-    if len(data) < HEAD + SUM or not data.startswith(MAGIC):
+    """Generation and content of a file's bytes; None if they are not whole."""
+    if len(data) < HEADER_BYTES + CHECKSUM_BYTES or not data.startswith(MAGIC):
         return None
-    length = int.from_bytes(data[HEAD - 8 : HEAD], "big")
+    length = int.from_bytes(data[HEADER_BYTES - LENGTH_BYTES : HEADER_BYTES], "big")
     if (
-        len(data) != HEAD + length + SUM
-        or hashlib.blake2b(data[:-SUM], digest_size=SUM).digest() != data[-SUM:]
+        len(data) != HEADER_BYTES + length + CHECKSUM_BYTES
+        or hashlib.blake2b(data[:-CHECKSUM_BYTES], digest_size=CHECKSUM_BYTES).digest()
+        != data[-CHECKSUM_BYTES:]
     ):
         return None
-    return int.from_bytes(data[len(MAGIC) : HEAD - 8], "big"), data[HEAD:-SUM]
+    generation = int.from_bytes(data[len(MAGIC) : HEADER_BYTES - LENGTH_BYTES], "big")
+    return generation, data[HEADER_BYTES:-CHECKSUM_BYTES]
 
 
 class Slots:
-    """The state in one folder. One process at a time uses it."""
+    """The state in one folder, which only one process at a time may use (the caller locks it)."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.generation = 0
-        self.newest = NAMES[1]  # the file that is not written next
+        self.newest = FILE_NAMES[1]  # the file with the newest state; the other one is written next
 
     def load(self) -> Loaded:
-        """Errors: `StoreError` if a file is there and can't be read."""
+        """Read the newest whole state. Errors: `StoreError` if a file exists and can't be read."""
         found: list[tuple[int, str, bytes]] = []
-        damaged, files = [], 0
-        for name in NAMES:
+        damaged: list[str] = []
+        file_count = 0
+        for name in FILE_NAMES:
             try:
                 with open(self.folder / name, "rb") as file:
-                    data = file.read(LIMIT + 1)
+                    data = file.read(MAX_FILE_BYTES + 1)
             except FileNotFoundError:
                 continue
             except OSError as error:
                 raise self._error(error) from None
-            files += 1
-            whole = unpack(data)
-            if whole is None:
+            file_count += 1
+            unpacked = unpack(data)
+            if unpacked is None:
                 damaged.append(name)
             else:
-                found.append((whole[0], name, whole[1]))
+                found.append((unpacked[0], name, unpacked[1]))
         if not found:
-            return Loaded(None, 0, files == 0, tuple(damaged))
+            return Loaded(None, 0, file_count == 0, tuple(damaged))
         self.generation, self.newest, content = max(found)
         return Loaded(content, self.generation, False, tuple(damaged))
 
     def save(self, content: bytes) -> int:
-        """Returns the generation, once all of it is on disk. Errors: `StoreError`; the state before that stays."""
-        name = NAMES[0] if self.newest == NAMES[1] else NAMES[1]
+        """Write a state; returns its generation once all of it is on disk.
+
+        Errors: `StoreError`; the state saved before stays in its file.
+        """
+        name = FILE_NAMES[0] if self.newest == FILE_NAMES[1] else FILE_NAMES[1]
         path, generation = self.folder / name, self.generation + 1
         try:
-            new = not path.exists()
+            is_new = not path.exists()
             file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
             try:
-                view = memoryview(pack(generation, content))
-                while view:
-                    view = view[os.write(file, view) :]
+                unwritten = memoryview(pack(generation, content))
+                while unwritten:
+                    unwritten = unwritten[os.write(file, unwritten) :]
                 os.fsync(file)
             finally:
                 os.close(file)
-            if new:
+            if is_new:
                 folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
                 try:
                     os.fsync(folder)
@@ -138,4 +151,5 @@
         return generation
 
     def _error(self, error: OSError) -> StoreError:
-        return StoreError(KINDS.get(error.errno or 0, "failed"), f"{self.folder}: {error.strerror}")
+        """The `StoreError` for an error of the operating system."""
+        return StoreError(ERROR_KINDS.get(error.errno or 0, "failed"), f"{self.folder}: {error.strerror}")
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from banklift.store.slots import NAMES, Slots, StoreError, pack, unpack
+from banklift.store.slots import FILE_NAMES, Slots, StoreError, pack, unpack
 
 
 def content(folder: Path) -> bytes | None:
@@ -17,9 +17,9 @@
 
 def test_nothing_there_is_told_from_something_damaged(tmp_path: Path) -> None:
     assert Slots(tmp_path).load().absent
-    (tmp_path / NAMES[0]).write_bytes(b"")
+    (tmp_path / FILE_NAMES[0]).write_bytes(b"")
     loaded = Slots(tmp_path).load()
-    assert (loaded.absent, loaded.content, loaded.damaged) == (False, None, (NAMES[0],))
+    assert (loaded.absent, loaded.content, loaded.damaged) == (False, None, (FILE_NAMES[0],))
 
 
 def test_saves_take_turns_and_the_newest_is_read(tmp_path: Path) -> None:
@@ -27,7 +27,7 @@
     for number in range(1, 6):
         assert slots.save(b"state %d" % number) == number
         assert content(tmp_path) == b"state %d" % number
-    assert sorted(path.name for path in tmp_path.iterdir()) == sorted(NAMES)
+    assert sorted(path.name for path in tmp_path.iterdir()) == sorted(FILE_NAMES)
     again = Slots(tmp_path)
     assert again.load().generation == 5
     assert again.save(b"state 6") == 6
@@ -39,7 +39,7 @@
     slots.save(b"one")
     slots.save(b"two")
     whole = pack(3, b"three")
-    victim = tmp_path / NAMES[0]  # which holds the older one
+    victim = tmp_path / FILE_NAMES[0]  # which holds the older one
     for cut in range(len(whole)):
         victim.write_bytes(whole[:cut])
         assert content(tmp_path) == b"two", cut
