--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -1,4 +1,4 @@
-"""The life of a change as the voters agree on it: every arrow of the table, and whatever comes late or twice."""
+"""Transitions of a change of policy: each row of the table in state.py, and events that come late or twice."""
 
 from __future__ import annotations
 
@@ -20,14 +20,16 @@
     settle,
 )
 
-FIRST = found("f", b"one")
+FIRST_STATE = found("f", b"one")
 
 
-def proposed(state: State = FIRST, change: str = "1-a", policy: bytes = b"two", dry: bool = False) -> State:
+def proposed(
+    state: State = FIRST_STATE, change: str = "1-a", policy: bytes = b"two", dry: bool = False
+) -> State:
     return propose(state, change, policy, "v1", 5.0, dry)
 
 
-def test_a_change_takes_hold() -> None:
+def test_an_agreed_change_is_put_in_force() -> None:
     state = settle(agree(proposed(), "1-a"), "1-a")
     assert (state.epoch, state.policy, state.change, state.version) == (2, b"two", None, 4)
     ended = find_outcome(state, "1-a")
@@ -45,23 +47,23 @@
     assert ended is not None and (ended.result, ended.reasons) == (Result.ABORTED, ("r1: $.x: no",))
 
 
-def test_what_is_agreed_is_not_taken_back() -> None:
+def test_an_agreed_change_is_never_aborted() -> None:
     state = agree(proposed(), "1-a")
     assert abort(state, "1-a", ("late",)) is state
     assert agree(state, "1-a") is state
 
 
-@pytest.mark.parametrize("step", [agree, settle, lambda state, change: abort(state, change, ())])
-def test_steps_of_another_change_or_of_none_leave_it(step: object) -> None:
-    assert callable(step)
-    for state in (FIRST, proposed(), agree(proposed(), "1-a")):
-        assert step(state, "1-b") is state
+@pytest.mark.parametrize("transition", [agree, settle, lambda state, change: abort(state, change, ())])
+def test_transitions_of_an_unknown_change_do_nothing(transition: object) -> None:
+    assert callable(transition)
+    for state in (FIRST_STATE, proposed(), agree(proposed(), "1-a")):
+        assert transition(state, "1-b") is state
     assert settle(proposed(), "1-a").change is not None  # it was not agreed
 
 
-def test_one_at_a_time_and_each_once() -> None:
+def test_one_change_at_a_time_and_each_once() -> None:
     state = proposed()
-    assert proposed(state) is state  # asked for again
+    assert proposed(state) is state  # proposed again
     with pytest.raises(ProposalRejected, match="change 1-a is under way") as caught:
         proposed(state, "2-b")
     assert caught.value.busy
@@ -71,7 +73,7 @@
         proposed(done, "1-c")
 
 
-def test_an_id_that_fell_out_of_the_history_is_never_made_again() -> None:
+def test_a_change_dropped_from_the_history_is_never_made_again() -> None:
     state = settle(agree(proposed(), "1-a"), "1-a")
     for number in range(MAX_HISTORY + 1):
         change = f"{state.version}-n{number}"
@@ -85,17 +87,17 @@
     state = proposed(dry=True)
     assert agree(state, "1-a") is state
     fine, refused = abort(state, "1-a", ()), abort(state, "1-a", ("no",))
-    assert [one.history[-1].result for one in (fine, refused)] == [Result.FINE, Result.REFUSED]
+    assert [ended.history[-1].result for ended in (fine, refused)] == [Result.FINE, Result.REFUSED]
     assert fine.epoch == refused.epoch == 1
 
 
 @pytest.mark.parametrize("change", ["", "a", "x-1", "1-", "1-a b", "1-" + "a" * 65, "-a"])
-def test_no_id_of_a_change(change: str) -> None:
+def test_an_invalid_change_id_is_rejected(change: str) -> None:
     with pytest.raises(ProposalRejected, match="not the id of a change"):
         proposed(change=change)
 
 
-def test_a_policy_is_bounded() -> None:
+def test_the_size_of_a_policy_is_bounded() -> None:
     with pytest.raises(ProposalRejected, match="bytes at the most"):
         proposed(policy=b"x" * (MAX_POLICY_BYTES + 1))
     assert proposed(policy=b"x" * MAX_POLICY_BYTES).change is not None
