--- a/tests/test_fleet_planted.py
+++ b/tests/test_fleet_planted.py
@@ -1,4 +1,7 @@
-"""Planted bugs: each breaks one thing that the fleet's promises rest on, and each is caught, in virtual time."""
+"""Planted bugs: each one breaks a rule that the fleet's guarantees depend on, and a scenario has to catch it.
+
+All runs are in virtual time. Without a bug no scenario may report anything.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,8 @@
 Patch = pytest.MonkeyPatch
 
 
-def up(seed: int, **rates: float) -> FleetWorld:
+def started_fleet(seed: int, **rates: float) -> FleetWorld:
+    """Five routers, three of them voters, after three seconds. `rates`: clock rates by router, where not 1."""
     fleet = FleetWorld(seed, 5, 3)
     for name, rate in rates.items():
         fleet.routers[name].rate = rate
@@ -33,55 +37,58 @@
     return fleet
 
 
-def cut(fleet: FleetWorld, name: str, *ways: str) -> None:
+def cut_links(fleet: FleetWorld, name: str, *ways: str) -> None:
+    """Stall the links between a router and the voters, one way or both."""
     for other in fleet.voters:
         for way in ways or ("there", "back"):
             fleet.relays[name, other].fault(way, "stall")
 
 
-# ---- scenarios: what they complain of, nothing if all is well
+# ---- scenarios: each returns what went wrong; empty if nothing did
 
 
-def cut_off() -> list[str]:
-    fleet = up(1)
-    cut(fleet, "r4")
+def router_cut_off() -> list[str]:
+    """A router is cut off from all voters before a change, which has to come in force without it."""
+    fleet = started_fleet(1)
+    cut_links(fleet, "r4")
     result = fleet.change(b"second")
     return fleet.breaks + ([] if result == "in force" else [result])
 
 
-def deaf() -> list[str]:
-    """It asks, and no answer comes through."""
-    fleet = up(2)
-    cut(fleet, "r4", "back")
+def router_without_answers() -> list[str]:
+    """A router sends requests, and no answer reaches it."""
+    fleet = started_fleet(2)
+    cut_links(fleet, "r4", "back")
     result = fleet.change(b"second")
     return fleet.breaks + ([] if result == "in force" else [result])
 
 
-def slow_link() -> list[str]:
-    """Answers take a second and a half; then nothing comes through."""
-    fleet = up(3)
+def slow_link_that_breaks() -> list[str]:
+    """The voters' answers reach a router 0.9 s late; then its requests stop arriving."""
+    fleet = started_fleet(3)
     for other in fleet.voters:
         fleet.relays["r4", other].fault("back", "delay", 0.9)
     fleet.run(8.0)
-    cut(fleet, "r4", "there")
+    cut_links(fleet, "r4", "there")
     fleet.run(1.0)
     result = fleet.change(b"second")
     return fleet.breaks + ([] if result == "in force" else [result])
 
 
-def clocks() -> list[str]:
-    """The router's clock is slow and the voters' are fast, as far as is stated; it accepts, and is cut off then."""
+def clocks_that_drift_apart() -> list[str]:
+    """A router's clock is slow and the voters' are fast, by the allowed drift; it is cut off after it has accepted."""
     found = []
     for step in range(16):
-        fleet = up(4, r0=1.005, r1=1.005, r2=1.005, r4=0.995)
-        fleet.world.at(fleet.world.now() + 0.2 + 0.01 * step, lambda fleet=fleet: cut(fleet, "r4"))  # type: ignore[misc]
+        fleet = started_fleet(4, r0=1.005, r1=1.005, r2=1.005, r4=0.995)
+        fleet.world.at(fleet.world.now() + 0.2 + 0.01 * step, lambda fleet=fleet: cut_links(fleet, "r4"))  # type: ignore[misc]
         fleet.change(b"second")
         found += fleet.breaks
     return found
 
 
-def refuser() -> list[str]:
-    fleet = up(5)
+def router_that_refuses() -> list[str]:
+    """A router refuses the policy: the change is aborted, and all routers go on with the first epoch."""
+    fleet = started_fleet(5)
     fleet.routers["r4"].reasons = ("no",)
     result = fleet.change(b"second " + REFUSED)
     fleet.run(5.0)
@@ -91,11 +98,11 @@
     )
 
 
-def late_refuser() -> list[str]:
-    """A router comes up after all the others have accepted, and refuses; it may not serve until the change is over."""
+def router_that_refuses_late() -> list[str]:
+    """A router starts after all the others have accepted, and refuses: it may not serve until the change is over."""
     found = []
     for delay in (0.02, 0.05, 0.1, 0.15, 0.2, 0.3):
-        fleet = up(6)
+        fleet = started_fleet(6)
         fleet.kill("r4")
         fleet.run(6.0)
         fleet.routers["r4"].reasons = ("no",)
@@ -108,30 +115,31 @@
     return found
 
 
-def asked_again() -> list[str]:
-    fleet = up(7)
+def change_proposed_again() -> list[str]:
+    """A change is proposed again to other voters after its end: each answers "in force", and it is made once."""
+    fleet = started_fleet(7)
     answers: list[Any] = []
     fleet.ask("r0", Show(), answers.append)
     fleet.run(0.5)
     shown = answers.pop()
     assert isinstance(shown, Shown) and shown.state is not None
-    for voter_ in ("r0", "r1", "r2", "r1"):
+    for voter_name in ("r0", "r1", "r2", "r1"):
         wanted = Set(f"{shown.state.version}-again", b"second", 10.0)
-        fleet.ask(voter_, wanted, lambda one: answers.append(fleet.told(one)))
+        fleet.ask(voter_name, wanted, lambda answer: answers.append(fleet.told(answer)))
         fleet.run(4.0)
-    return fleet.breaks + [one for one in answers if one != "in force"]
+    return fleet.breaks + [answer for answer in answers if answer != "in force"]
 
 
-def rolled_back() -> list[str]:
-    """One voter down, one set back to before the change, the third away: nobody may vote on that."""
-    fleet = up(8)
+def disk_rolled_back() -> list[str]:
+    """One voter is down, one was rolled back to before the change, and the third stops: no voter may vote on that."""
+    fleet = started_fleet(8)
     fleet.kill("r2")
     fleet.run(6.0)
-    before = fleet.routers["r0"].disk.content
+    old_content = fleet.routers["r0"].disk.content
     result = fleet.change(b"second")
     fleet.kill("r0")
     fleet.kill("r1")
-    fleet.routers["r0"].disk.content = before
+    fleet.routers["r0"].disk.content = old_content
     fleet.start("r0")
     fleet.start("r2")
     fleet.run(15.0)
@@ -141,32 +149,32 @@
     return found + fleet.breaks + ([] if fleet.serving() == dict.fromkeys(fleet.names, 2) else ["not served"])
 
 
-def voter_restarts(times: int = 12) -> list[str]:
-    """A voter is killed and started again in the middle of a change, while a router is deaf."""
+def voters_that_restart(times: int = 12) -> list[str]:
+    """Two voters are killed and restarted in the middle of a change, while no answer reaches a router."""
     found = []
     for step in range(times):
-        fleet = up(9)
-        cut(fleet, "r4", "back")
+        fleet = started_fleet(9)
+        cut_links(fleet, "r4", "back")
         fleet.run(0.1)
 
-        def again(fleet: FleetWorld = fleet) -> None:
+        def restart_voters(fleet: FleetWorld = fleet) -> None:
             for name in ("r1", "r2"):
                 fleet.kill(name)
                 fleet.start(name)
 
-        fleet.world.at(fleet.world.now() + 0.4 + 0.15 * step, again)
+        fleet.world.at(fleet.world.now() + 0.4 + 0.15 * step, restart_voters)
         fleet.change(b"second")
         fleet.run(6.0)
         found += fleet.breaks
     return found
 
 
-def impatient() -> list[str]:
-    """Its patience is over while it takes hold: it was agreed, so it goes on."""
+def patience_that_ends_early() -> list[str]:
+    """The patience ends while the change is being put in force: it was agreed, so it goes on."""
     found = []
     for patience in (0.05, 0.1, 0.2, 0.4, 1.0, 2.0, 3.0, 3.2, 3.4, 3.6, 3.8, 4.0, 4.2, 4.4, 5.0, 5.5):
-        fleet = up(10)
-        cut(fleet, "r4")
+        fleet = started_fleet(10)
+        cut_links(fleet, "r4")
         fleet.run(0.05)
         fleet.change(b"second", patience=patience)
         fleet.run(10.0)
@@ -174,36 +182,37 @@
     return found
 
 
-def split() -> list[str]:
-    """Two voters on one side and one on the other; both sides have routers, and both want a change."""
-    fleet = up(11)
-    for one, other in (("r1", "r0"), ("r2", "r0"), ("r3", "r0"), ("r4", "r1"), ("r4", "r2")):
+def voters_split() -> list[str]:
+    """Two voters on one side and one on the other; both sides have routers, and both propose a change."""
+    fleet = started_fleet(11)
+    for name, other in (("r1", "r0"), ("r2", "r0"), ("r3", "r0"), ("r4", "r1"), ("r4", "r2")):
         for way in ("there", "back"):
-            fleet.relays[one, other].fault(way, "drop")
+            fleet.relays[name, other].fault(way, "drop")
     fleet.change(b"left", voter="r1", seconds=15.0)
     fleet.change(b"right", voter="r0", seconds=15.0)
     return fleet.breaks
 
 
 SCENARIOS = (
-    cut_off,
-    deaf,
-    slow_link,
-    clocks,
-    refuser,
-    late_refuser,
-    asked_again,
-    rolled_back,
-    voter_restarts,
-    impatient,
-    split,
+    router_cut_off,
+    router_without_answers,
+    slow_link_that_breaks,
+    clocks_that_drift_apart,
+    router_that_refuses,
+    router_that_refuses_late,
+    change_proposed_again,
+    disk_rolled_back,
+    voters_that_restart,
+    patience_that_ends_early,
+    voters_split,
 )
 
 
-# ---- bugs
+# ---- bugs: each patches one rule away
 
 
-def counted_from_receipt(patch: Patch) -> None:
+def lease_counted_from_receipt(patch: Patch) -> None:
+    """A holder counts a lease from when the grant arrived, rather than from when it was asked for."""
     real = LeaseClient.granted
 
     def granted(self: LeaseClient, now: float, name: str, grant: LeaseGrant) -> list[holder.Action]:
@@ -215,7 +224,8 @@
     patch.setattr(LeaseClient, "granted", granted)
 
 
-def turned_before_the_last_lease_ends(patch: Patch) -> None:
+def switch_before_the_last_lease_ends(patch: Patch) -> None:
+    """A voter switches to the new epoch while leases on the old one are outstanding."""
     real = LeaseTable.tick
 
     def tick(self: LeaseTable, now: float) -> None:
@@ -226,14 +236,17 @@
     patch.setattr(LeaseTable, "tick", tick)
 
 
-def votes_at_once_after_a_start(patch: Patch) -> None:
+def vote_at_once_after_a_start(patch: Patch) -> None:
+    """A voter votes after a start without asking the others what it may have promised."""
+
     def done(self: Rejoining) -> Record | None:
         return self.record
 
     patch.setattr(Rejoining, "done", done)
 
 
-def retried_change_made_twice(patch: Patch) -> None:
+def repeated_change_made_twice(patch: Patch) -> None:
+    """A change that is proposed again is made again."""
     real = state.propose
 
     def propose(
@@ -247,7 +260,8 @@
     patch.setattr(voter, "propose", propose)
 
 
-def a_refusal_is_not_waited_for(patch: Patch) -> None:
+def agree_before_all_have_accepted(patch: Patch) -> None:
+    """A voter reports that all holders have accepted when some have not."""
     real = LeaseTable.survey
 
     def survey(self: LeaseTable, now: float) -> lease_table.Answers:
@@ -257,19 +271,21 @@
 
 
 def drift_left_out(patch: Patch) -> None:
-    real_book, real_leases = LeaseTable.__init__, LeaseClient.__init__
+    """Leases are counted as if all clocks ran at one rate."""
+    real_table, real_leases = LeaseTable.__init__, LeaseClient.__init__
 
     def table(self: LeaseTable, lease: float, drift: float) -> None:
-        real_book(self, lease, 0.0)
+        real_table(self, lease, 0.0)
 
-    def leases_(self: LeaseClient, voters: tuple[str, ...], lease: float, drift: float, *more: Any) -> None:
+    def client(self: LeaseClient, voters: tuple[str, ...], lease: float, drift: float, *more: Any) -> None:
         real_leases(self, voters, lease, 0.0, *more)
 
     patch.setattr(LeaseTable, "__init__", table)
-    patch.setattr(LeaseClient, "__init__", leases_)
+    patch.setattr(LeaseClient, "__init__", client)
 
 
-def old_leases_given_past_the_turn(patch: Patch) -> None:
+def old_leases_granted_past_the_switch(patch: Patch) -> None:
+    """A voter grants full leases on the old epoch past its switch to the new one."""
     real = LeaseTable._grant
 
     def grant(self: LeaseTable, now: float, entry: Entry, request: LeaseRequest) -> LeaseGrant:
@@ -279,7 +295,8 @@
     patch.setattr(LeaseTable, "_grant", grant)
 
 
-def what_the_router_still_counts_is_forgotten(patch: Patch) -> None:
+def outstanding_grants_forgotten(patch: Patch) -> None:
+    """A voter forgets grants that the holder still counts."""
     real = LeaseTable.request
 
     def request(
@@ -292,7 +309,8 @@
     patch.setattr(LeaseTable, "request", request)
 
 
-def agreed_changes_taken_back(patch: Patch) -> None:
+def agreed_change_aborted(patch: Patch) -> None:
+    """A change that was agreed is aborted when its patience is over."""
     real = state.abort
 
     def abort(old: state.State, change: str, reasons: tuple[str, ...]) -> state.State:
@@ -314,11 +332,14 @@
 
 
 def half_is_a_majority(patch: Patch) -> None:
+    """Half of the voters, rounded down, count as a majority."""
     for module in (register, leases, driver):
         patch.setattr(module, "majority", lambda voters: voters // 2)
 
 
-def grants_at_once_after_a_start(patch: Patch) -> None:
+def grant_at_once_after_a_start(patch: Patch) -> None:
+    """A voter grants leases on the new epoch right after a start, while old leases may be outstanding."""
+
     def restarted(self: LeaseTable, now: float, known: state.State | None) -> None:
         if known is not None:
             self.apply_state(now, known)
@@ -326,7 +347,8 @@
     patch.setattr(LeaseTable, "restarted", restarted)
 
 
-def newcomers_get_leases_while_it_is_sealed(patch: Patch) -> None:
+def newcomers_get_leases_while_sealed(patch: Patch) -> None:
+    """A sealed voter grants leases to holders that have not accepted the change."""
     real = LeaseTable.request
 
     def request(
@@ -343,14 +365,17 @@
     patch.setattr(LeaseTable, "request", request)
 
 
-def a_refused_policy_is_served(patch: Patch) -> None:
+def refused_policy_is_served(patch: Patch) -> None:
+    """A router accepts every policy, whatever its check says."""
+
     def verdict(self: PolicyCache, known: str) -> tuple[str, ...]:
         return ()
 
     patch.setattr(PolicyCache, "verdict", verdict)
 
 
-def a_lease_of_any_voter_is_enough(patch: Patch) -> None:
+def lease_of_one_voter_is_enough(patch: Patch) -> None:
+    """A router serves with the lease of a single voter."""
     real = LeaseClient.__init__
 
     def init(self: LeaseClient, *given: Any) -> None:
@@ -361,35 +386,35 @@
 
 
 BUGS = (
-    counted_from_receipt,
-    turned_before_the_last_lease_ends,
-    votes_at_once_after_a_start,
-    retried_change_made_twice,
-    a_refusal_is_not_waited_for,
+    lease_counted_from_receipt,
+    switch_before_the_last_lease_ends,
+    vote_at_once_after_a_start,
+    repeated_change_made_twice,
+    agree_before_all_have_accepted,
     drift_left_out,
-    old_leases_given_past_the_turn,
-    what_the_router_still_counts_is_forgotten,
-    agreed_changes_taken_back,
+    old_leases_granted_past_the_switch,
+    outstanding_grants_forgotten,
+    agreed_change_aborted,
     half_is_a_majority,
-    grants_at_once_after_a_start,
-    newcomers_get_leases_while_it_is_sealed,
-    a_refused_policy_is_served,
-    a_lease_of_any_voter_is_enough,
+    grant_at_once_after_a_start,
+    newcomers_get_leases_while_sealed,
+    refused_policy_is_served,
+    lease_of_one_voter_is_enough,
 )
 
 
-@pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda one: one.__name__)
-def test_nothing_to_complain_of(scenario: Callable[[], list[str]]) -> None:
+@pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda function: function.__name__)
+def test_a_scenario_without_a_bug_reports_nothing(scenario: Callable[[], list[str]]) -> None:
     assert scenario() == []
 
 
-@pytest.mark.parametrize("bug", BUGS, ids=lambda one: one.__name__)
+@pytest.mark.parametrize("bug", BUGS, ids=lambda function: function.__name__)
 def test_a_planted_bug_is_caught(bug: Callable[[Patch], None], monkeypatch: Patch) -> None:
     bug(monkeypatch)
     for scenario in SCENARIOS:
         try:
             if scenario():
                 return
-        except AssertionError:  # one of the program's own, or of the scenario's
+        except AssertionError:  # raised by the program or by the scenario
             return
     raise AssertionError(f"{bug.__name__} was not caught")
