--- a/banklift/fleet/links.py
+++ b/banklift/fleet/links.py
@@ -384,10 +384,10 @@
         if hello.sub_lease != plan.sub_lease:
             mismatches.append(f"fleet.sub_lease: {hello.sub_lease:g} s, here it is {plan.sub_lease:g} s")
         if link.dialled and hello.name != link.dialled:
-            mismatches.append(f"{hello.name!r} answers where {link.dialled!r} was called")
+            mismatches.append(f"{hello.name!r} answers where {link.dialled!r} was dialled")
         elif link.dialled and hello.role is not self.peer_role:
             mismatches.append(
-                f"{hello.name!r} answers as {hello.role}, and the one called is {self.peer_role}"
+                f"{hello.name!r} answers as {hello.role}, and the role of the dialled member is {self.peer_role}"
             )
         if (hello.role, hello.name) == (self.role, plan.name):
             mismatches.append(f"name: {hello.name!r} is this {self.role}'s own")
--- a/banklift/fleet/state.py
+++ b/banklift/fleet/state.py
@@ -125,15 +125,17 @@
     """
     version = base_version(change)
     if len(policy) > MAX_POLICY_BYTES:
-        raise ProposalRejected(f"a policy has {MAX_POLICY_BYTES} bytes at the most, this one {len(policy)}")
+        raise ProposalRejected(
+            f"a policy is limited to {MAX_POLICY_BYTES} bytes, and this one has {len(policy)}"
+        )
     if find_outcome(state, change) is not None or (state.change is not None and state.change.id == change):
         return state
     if state.change is not None:
         raise ProposalRejected(f"change {state.change.id} is under way ({state.change.stage})", busy=True)
     if version != state.version:
         raise ProposalRejected(
-            f"made for version {version}, and it is {state.version} now: it was not made or its outcome is no "
-            "longer kept, and it will not be made any more"
+            f"made for version {version}, but the state has version {state.version}: it was not made or its "
+            "outcome is no longer kept, and it will not be made any more"
         )
     proposed = Change(change, policy, state.epoch + 1, by, patience, dry)
     return msgspec.structs.replace(state, version=state.version + 1, change=proposed)
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -274,7 +274,9 @@
     driver = router()
     driver.greet("a0", Role.ROUTER)
     byes = [message for _, message in driver.sent_messages if isinstance(message, Bye)]
-    assert [bye.reason for bye in byes] == ["'a0' answers as router, and the one called is aggregator"]
+    assert [bye.reason for bye in byes] == [
+        "'a0' answers as router, and the role of the dialled member is aggregator"
+    ]
     assert driver.closed_links == [driver.links["a0"]]
 
 
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -69,7 +69,7 @@
     assert caught.value.busy
     done = settle(agree(state, "1-a"), "1-a")
     assert proposed(done) is done
-    with pytest.raises(ProposalRejected, match="made for version 1, and it is 4 now"):
+    with pytest.raises(ProposalRejected, match="made for version 1, but the state has version 4: "):
         proposed(done, "1-c")
 
 
@@ -98,7 +98,9 @@
 
 
 def test_the_size_of_a_policy_is_bounded() -> None:
-    with pytest.raises(ProposalRejected, match="bytes at the most"):
+    with pytest.raises(
+        ProposalRejected, match="a policy is limited to 262144 bytes, and this one has 262145"
+    ):
         proposed(policy=b"x" * (MAX_POLICY_BYTES + 1))
     assert proposed(policy=b"x" * MAX_POLICY_BYTES).change is not None
     assert agree(proposed(), "1-a").change is not None
