--- a/banklift/resp/commands.py
+++ b/banklift/resp/commands.py
@@ -14,32 +14,36 @@
     READ = "read"
     WRITE = "write"
     LOCAL = "local"  # answered by the router
-    ALONE = "alone"  # needs a connection of its own: refused
+    DEDICATED = "alone"  # needs a connection of its own: refused
 
 
 @dataclass(frozen=True, slots=True)
 class Command:
     name: str
     kind: Kind
-    first: int = 1  # place of the first key; 0: none
-    last: int = 1  # place of the last key; negative: from the end
-    step: int = 1
-    counted: int = 0  # place of the argument that counts the keys that follow it; 0: none
-    arity: int = 2  # arguments with the name, at the least
+    first_key: int = 1  # place of the first key; 0: none
+    last_key: int = 1  # place of the last key; negative: from the end
+    key_step: int = 1
+    key_count_index: int = 0  # place of the argument that counts the keys that follow it; 0: none
+    min_args: int = 2  # arguments with the name, at the least
 
     def keys(self, args: list[bytes]) -> list[bytes]:
         """The keys among the arguments. Errors: `ValueError` for a count of keys that doesn't fit."""
-        if self.counted:
-            keys = args[self.first : self.counted] if self.first < self.counted and self.first else []
-            count = int(args[self.counted])
-            named = args[self.counted + 1 : self.counted + 1 + count]
+        if self.key_count_index:
+            keys = (
+                args[self.first_key : self.key_count_index]
+                if self.first_key < self.key_count_index and self.first_key
+                else []
+            )
+            count = int(args[self.key_count_index])
+            named = args[self.key_count_index + 1 : self.key_count_index + 1 + count]
             if count < 1 or len(named) < count:
                 raise ValueError("number of keys is wrong")
             return [*keys, *named]
-        if not self.first:
+        if not self.first_key:
             return []
-        last = self.last if self.last >= 0 else len(args) + self.last
-        return args[self.first : last + 1 : self.step]
+        last = self.last_key if self.last_key >= 0 else len(args) + self.last_key
+        return args[self.first_key : last + 1 : self.key_step]
 
 
 def _table() -> dict[bytes, Command]:
@@ -100,7 +104,7 @@
     add(Kind.LOCAL, "WAIT", first=0, arity=3)
     add(Kind.LOCAL, "BANKLIFT.TOKEN", first=0, arity=1)
     add(
-        Kind.ALONE,
+        Kind.DEDICATED,
         "WATCH UNWATCH BLPOP BRPOP BLMOVE BRPOPLPUSH BLMPOP BZPOPMIN BZPOPMAX BZMPOP XREAD XREADGROUP "
         "SUBSCRIBE PSUBSCRIBE SSUBSCRIBE UNSUBSCRIBE PUNSUBSCRIBE SUNSUBSCRIBE PUBLISH SPUBLISH MONITOR "
         "WAITAOF SYNC PSYNC REPLCONF SCRIPT FUNCTION FCALL FCALL_RO",
--- a/banklift/resp/front.py
+++ b/banklift/resp/front.py
@@ -32,24 +32,26 @@
 from banklift.resp.commands import COMMANDS, Command, Kind, lookup
 from banklift.resp.frames import CommandReader, Error, ProtocolError, Simple, command, encode
 from banklift.resp.proofs import RespProofs
-from banklift.resp.routes import CrossGroup, Routes, Unowned, strongest
-from banklift.resp.wire import Single, Unit
+from banklift.resp.routes import CrossGroupKeys, Routes, UnownedKey, strictest_class
+from banklift.resp.wire import Single, Transaction
 
-VERSION = "7.2.0"  # of the protocol's commands that clients may expect
-SESSIONS = 10_000  # named sessions whose marks are kept
+REDIS_VERSION = "7.2.0"  # of the protocol's commands that clients may expect
+MAX_NAMED_SESSIONS = 10_000  # named sessions whose marks are kept
 OK = Simple("OK")
-NOT_YET = object()  # what a late answer may say: ask again
-LUMP = 1024 * 1024  # bytes of answers let go at once after which nothing is begun in the same moment
-WAIT_LOOK = 0.02  # seconds between looks at what replicas have, for WAIT
+NOT_READY = object()  # what a late answer may say: ask again
+FLUSH_PAUSE_BYTES = (
+    1024 * 1024
+)  # bytes of answers let go at once after which nothing is begun in the same moment
+WAIT_POLL_SECONDS = 0.02  # seconds between looks at what replicas have, for WAIT
 
 
-UNCERTAIN = encode(Error("UNCERTAIN failed: it may have run"))
+UNCERTAIN_ERROR = encode(Error("UNCERTAIN failed: it may have run"))
 
 
-def refusal(wait: float, touched: bool) -> bytes:
+def encode_refusal(wait: float, touched: bool) -> bytes:
     """The answer to a refused request. `wait`: seconds; `touched`: a member may have run it."""
-    words = "it may have run and is safe to repeat" if touched else "nothing ran"
-    return encode(Error(f"TRYAGAIN refused: {words}; retry_after_ms={round(wait * 1000)}"))
+    outcome = "it may have run and is safe to repeat" if touched else "nothing ran"
+    return encode(Error(f"TRYAGAIN refused: {outcome}; retry_after_ms={round(wait * 1000)}"))
 
 
 @dataclass(slots=True, eq=False)
@@ -58,39 +60,39 @@
 
     answer: bytes | None = None
     request: int | None = None
-    late: Callable[[], object] | None = None  # makes the answer once all before it are answered
-    gate: Gate | None = None  # what its request counts at ...
-    kind: RequestClass | None = None  # ... and as
+    deferred: Callable[[], object] | None = None  # makes the answer once all before it are answered
+    queue: GroupQueue | None = None  # what its request counts at ...
+    request_class: RequestClass | None = None  # ... and as
 
 
 @dataclass(slots=True, eq=False)
-class Waiting:
+class WaitingCommand:
     """A command that waits for those before it."""
 
     place: Place
-    kind: RequestClass
-    exchange: Single | Unit
+    request_class: RequestClass
+    exchange: Single | Transaction
     arrived: float
 
 
 @dataclass(slots=True, eq=False)
-class Gate:
+class GroupQueue:
     """What one connection has under way in one group."""
 
-    reads: int = 0
-    writes: int = 0
-    waiting: deque[Waiting] = field(default_factory=deque)
+    active_reads: int = 0
+    active_writes: int = 0
+    waiting: deque[WaitingCommand] = field(default_factory=deque)
 
-    def ended(self, kind: RequestClass) -> None:
-        if kind.need is Need.WRITE:
-            self.writes -= 1
+    def release(self, request_class: RequestClass) -> None:
+        if request_class.need is Need.WRITE:
+            self.active_writes -= 1
         else:
-            self.reads -= 1
+            self.active_reads -= 1
 
-    def lets(self, kind: RequestClass) -> bool:
-        if kind.need is Need.WRITE:
-            return not self.reads and not self.writes
-        return not self.writes or kind.need in (Need.BOUNDED, Need.ANY)
+    def admits(self, request_class: RequestClass) -> bool:
+        if request_class.need is Need.WRITE:
+            return not self.active_reads and not self.active_writes
+        return not self.active_writes or request_class.need in (Need.BOUNDED, Need.ANY)
 
 
 @dataclass(slots=True, eq=False)
@@ -101,15 +103,15 @@
     proto: int = 2
     user: str | None = None
     name: str = ""
-    units: list[tuple[Command, list[bytes], RequestClass, int]] | None = None  # of a MULTI
-    spoilt: bool = False  # a command of the MULTI was refused
-    seen: dict[int, Seen] = field(default_factory=dict)
-    gates: dict[int, Gate] = field(default_factory=dict)  # by group
-    shown: bool = False  # it shows its marks itself when it changes router
+    transaction: list[tuple[Command, list[bytes], RequestClass, int]] | None = None  # of a MULTI
+    transaction_failed: bool = False  # a command of the MULTI was refused
+    marks: dict[int, Seen] = field(default_factory=dict)
+    queues: dict[int, GroupQueue] = field(default_factory=dict)  # by group
+    sent_token: bool = False  # it shows its marks itself when it changes router
     paused: bool = False
-    full: bool = False  # it does not read its answers
+    output_full: bool = False  # it does not read its answers
     closing: bool = False  # nothing more is read; closed once the line is empty
-    latest: float = -math.inf  # when the time is over of whatever in the line has the most
+    latest_deadline: float = -math.inf  # when the time is over of whatever in the line has the most
 
 
 class RespFront:
@@ -121,8 +123,8 @@
         self.routes = Routes(config)
         self.clients: dict[int, Client] = {}
         self.places: dict[int, tuple[Client, Place]] = {}  # by request
-        self.sessions: OrderedDict[tuple[str, str], dict[int, Seen]] = OrderedDict()
-        self.dropped = False  # marks of a named session were dropped, so an unknown one may have some
+        self.named_sessions: OrderedDict[tuple[str, str], dict[int, Seen]] = OrderedDict()
+        self.marks_evicted = False  # marks of a named session were dropped, so an unknown one may have some
         self.passwords = {user.name: user.password for user in config.users}
         self.group_names = [group.name for group in config.groups]
 
@@ -139,7 +141,7 @@
         state = self.clients.get(client)
         if state is not None and not state.closing:
             state.reader.feed(data)
-            self._read(state)
+            self._read_commands(state)
 
     def eof(self, client: int) -> None:
         state = self.clients.get(client)
@@ -147,11 +149,11 @@
             return
         state.closing = True
         gone = encode(Error("TRYAGAIN refused: nothing ran; the client closed its side"))
-        for gate in state.gates.values():
-            for waiting in gate.waiting:
+        for queue in state.queues.values():
+            for waiting in queue.waiting:
                 if waiting.place.answer is None:
                     waiting.place.answer = gone
-            gate.waiting.clear()
+            queue.waiting.clear()
         for place in list(state.line):
             if place.request is not None and place.answer is None and not self.core.under_way(place.request):
                 self._give_up(place, gone)
@@ -165,7 +167,7 @@
         if state is None:
             return
         state.closing = True
-        state.gates.clear()
+        state.queues.clear()
         for place in state.line:
             if place.request is not None and place.answer is None:
                 self.places.pop(place.request, None)
@@ -174,7 +176,7 @@
     def full(self, client: int, is_full: bool) -> None:
         state = self.clients.get(client)
         if state is not None:
-            state.full = is_full
+            state.output_full = is_full
             if is_full:
                 self._pause(state)
             else:
@@ -189,14 +191,14 @@
             case Served(answer, seen):
                 place.answer = answer
                 if seen is not None:
-                    self._mark(self._marks(state), ask.group, seen)
+                    self._merge_mark(self._session_marks(state), ask.group, seen)
             case Refused(wait, touched):
-                place.answer = refusal(wait, touched)
+                place.answer = encode_refusal(wait, touched)
             case Failed():
-                place.answer = UNCERTAIN
-        if place.gate is not None:
-            place.gate.ended(ask.kind)
-            self._let(state, ask.group, place.gate)
+                place.answer = UNCERTAIN_ERROR
+        if place.queue is not None:
+            place.queue.release(ask.kind)
+            self._start_waiting(state, ask.group, place.queue)
         self._flush(state)
 
     def adopt(self, plan: object) -> None:
@@ -229,28 +231,28 @@
         touched, repeats = self.core.touched(place.request), self.core.repeats(place.request)
         self.core.abandon(place.request)
         self.places.pop(place.request, None)
-        place.answer = untouched if not touched else refusal(0.0, True) if repeats else UNCERTAIN
-        if place.gate is not None and place.kind is not None:
-            place.gate.ended(place.kind)
+        place.answer = untouched if not touched else encode_refusal(0.0, True) if repeats else UNCERTAIN_ERROR
+        if place.queue is not None and place.request_class is not None:
+            place.queue.release(place.request_class)
 
     def _overdue(self, state: Client, place: Place) -> None:
         """The time of a command is over, and something in front of it has more: that is given up with it."""
         if state.id not in self.clients or place not in state.line:
             return
         for other in list(state.line):  # giving up one may end others, and let more be read
-            if other.answer is None and other.late is None:
-                self._give_up(other, refusal(0.0, False))
+            if other.answer is None and other.deferred is None:
+                self._give_up(other, encode_refusal(0.0, False))
             if other is place:
                 break
-        for group, gate in list(state.gates.items()):
-            self._let(state, group, gate)
+        for group, queue in list(state.queues.items()):
+            self._start_waiting(state, group, queue)
         self._flush(state)
 
-    def _read(self, state: Client) -> None:
+    def _read_commands(self, state: Client) -> None:
         limit = self.config.limits.pipeline
         try:
             while not state.closing:
-                if len(state.line) >= limit or state.full:
+                if len(state.line) >= limit or state.output_full:
                     self._pause(state)
                     break
                 args = state.reader.next()
@@ -258,7 +260,7 @@
                     break
                 place = Place()
                 state.line.append(place)
-                self._command(state, place, args)
+                self._dispatch(state, place, args)
         except ProtocolError as error:
             state.line.append(Place(encode(Error(f"ERR Protocol error: {error}"))))
             state.closing = True
@@ -273,9 +275,9 @@
         line, out = state.line, []
         while line:
             front = line[0]
-            if front.answer is None and front.late is not None:
-                value = front.late()
-                front.answer = None if value is NOT_YET else encode(value, state.proto)
+            if front.answer is None and front.deferred is not None:
+                value = front.deferred()
+                front.answer = None if value is NOT_READY else encode(value, state.proto)
             if front.answer is None:
                 break
             out.append(front.answer)
@@ -287,123 +289,140 @@
         if state.closing and not line:
             del self.clients[state.id]
             self.core.actions.append(ev.CloseClient(state.id))
-        elif sum(map(len, out)) > LUMP:  # whether the client reads it is known a moment later
+        elif sum(map(len, out)) > FLUSH_PAUSE_BYTES:  # whether the client reads it is known a moment later
             self._pause(state)
             self.core.at(self.core.now, lambda: self._flush(state))
-        elif state.paused and not state.full and len(line) <= self.config.limits.pipeline // 2:
+        elif state.paused and not state.output_full and len(line) <= self.config.limits.pipeline // 2:
             state.paused = False
             self.core.actions.append(ev.ResumeClient(state.id))
-            self._read(state)
+            self._read_commands(state)
 
     # ---- commands
 
-    def _command(self, state: Client, place: Place, args: list[bytes]) -> None:
+    def _dispatch(self, state: Client, place: Place, args: list[bytes]) -> None:
         name = args[0].upper()
         known = lookup(name)
         if self.passwords and state.user is None and name not in (b"AUTH", b"HELLO", b"QUIT", b"RESET"):
-            return self._say(state, place, Error("NOAUTH Authentication required."))
+            return self._reply(state, place, Error("NOAUTH Authentication required."))
         if known is None:
             shown = args[0][:128].decode("utf-8", "replace")
             rest = " ".join(f"'{arg[:128].decode('utf-8', 'replace')}'" for arg in args[1:4])
-            state.spoilt = True
-            return self._say(
+            state.transaction_failed = True
+            return self._reply(
                 state, place, Error(f"ERR unknown command '{shown}', with args beginning with: {rest}")
             )
-        if len(args) < known.arity:
-            state.spoilt = True
-            return self._say(
+        if len(args) < known.min_args:
+            state.transaction_failed = True
+            return self._reply(
                 state, place, Error(f"ERR wrong number of arguments for '{known.name.lower()}' command")
             )
-        if known.kind is Kind.ALONE:
-            state.spoilt = True
-            return self._say(
+        if known.kind is Kind.DEDICATED:
+            state.transaction_failed = True
+            return self._reply(
                 state,
                 place,
                 Error(f"ERR {known.name} needs a connection of its own, which this router doesn't give"),
             )
         if known.kind is Kind.LOCAL:
-            if state.units is not None and name not in (b"EXEC", b"DISCARD", b"MULTI", b"QUIT", b"RESET"):
-                state.spoilt = True
-                return self._say(
+            if state.transaction is not None and name not in (
+                b"EXEC",
+                b"DISCARD",
+                b"MULTI",
+                b"QUIT",
+                b"RESET",
+            ):
+                state.transaction_failed = True
+                return self._reply(
                     state, place, Error(f"ERR {known.name} can't stand in a MULTI of this router")
                 )
-            return self._local(state, place, name, args)
+            return self._answer_locally(state, place, name, args)
         try:
             keys = known.keys(args)
             if not keys:
                 raise ValueError("no key")
             group = self.routes.group(keys)
         except ValueError as error:
-            state.spoilt = True
-            return self._say(state, place, Error(f"ERR {known.name}: keys can't be told: {error}"))
-        except CrossGroup:
-            state.spoilt = True
-            return self._say(state, place, Error("CROSSSLOT Keys in request belong to different groups"))
-        except Unowned as error:
-            state.spoilt = True
+            state.transaction_failed = True
+            return self._reply(state, place, Error(f"ERR {known.name}: keys can't be told: {error}"))
+        except CrossGroupKeys:
+            state.transaction_failed = True
+            return self._reply(state, place, Error("CROSSSLOT Keys in request belong to different groups"))
+        except UnownedKey as error:
+            state.transaction_failed = True
             key = error.args[0][:64].decode("utf-8", "replace")
-            return self._say(state, place, Error(f"CLUSTERDOWN no group owns the key '{key}'"))
+            return self._reply(state, place, Error(f"CLUSTERDOWN no group owns the key '{key}'"))
         writes = known.kind is Kind.WRITE
-        kind = self.routes.kind(name, keys, writes, state.user or "default")
-        if state.units is not None:
-            if any(other != group for _, _, _, other in state.units):
-                state.spoilt = True
-                return self._say(
+        request_class = self.routes.request_class(name, keys, writes, state.user or "default")
+        if state.transaction is not None:
+            if any(other != group for _, _, _, other in state.transaction):
+                state.transaction_failed = True
+                return self._reply(
                     state, place, Error("CROSSSLOT Keys of one MULTI belong to different groups")
                 )
-            state.units.append((known, args, kind, group))
-            return self._say(state, place, Simple("QUEUED"))
+            state.transaction.append((known, args, request_class, group))
+            return self._reply(state, place, Simple("QUEUED"))
         self._submit(
-            state, place, kind, group, Single(state.proto, state.reader.raw or command(*args), writes)
+            state,
+            place,
+            request_class,
+            group,
+            Single(state.proto, state.reader.raw or command(*args), writes),
         )
 
     def _submit(
-        self, state: Client, place: Place, kind: RequestClass, group: int, exchange: Single | Unit
+        self,
+        state: Client,
+        place: Place,
+        request_class: RequestClass,
+        group: int,
+        exchange: Single | Transaction,
     ) -> None:
-        gate = state.gates.get(group)
-        if gate is None:
-            gate = state.gates[group] = Gate()
+        queue = state.queues.get(group)
+        if queue is None:
+            queue = state.queues[group] = GroupQueue()
         now = self.core.now if self.core.arrived is None else self.core.arrived
-        end = now + self.core.patience(kind)
+        end = now + self.core.patience(request_class)
         if state.line[0] is place:
-            state.latest = end
-        elif end < state.latest:  # its time is over before that of something in front of it
+            state.latest_deadline = end
+        elif end < state.latest_deadline:  # its time is over before that of something in front of it
             self.core.at(end, lambda: self._overdue(state, place))
         else:
-            state.latest = end
-        waiting = Waiting(place, kind, exchange, now)
-        self._skip(gate)
-        if not gate.waiting and gate.lets(kind):
-            return self._request(state, gate, waiting, group)
-        gate.waiting.append(waiting)  # what it waits for ends in time, or is given up with it
-
-    def _skip(self, gate: Gate) -> None:
+            state.latest_deadline = end
+        waiting = WaitingCommand(place, request_class, exchange, now)
+        self._drop_answered(queue)
+        if not queue.waiting and queue.admits(request_class):
+            return self._start_request(state, queue, waiting, group)
+        queue.waiting.append(waiting)  # what it waits for ends in time, or is given up with it
+
+    def _drop_answered(self, queue: GroupQueue) -> None:
         """What was given up while it waited is passed over, and not kept for long."""
-        while gate.waiting and gate.waiting[0].place.answer is not None:
-            gate.waiting.popleft()
-        if len(gate.waiting) > 2 * self.config.limits.pipeline:
-            gate.waiting = deque(waiting for waiting in gate.waiting if waiting.place.answer is None)
+        while queue.waiting and queue.waiting[0].place.answer is not None:
+            queue.waiting.popleft()
+        if len(queue.waiting) > 2 * self.config.limits.pipeline:
+            queue.waiting = deque(waiting for waiting in queue.waiting if waiting.place.answer is None)
 
-    def _let(self, state: Client, group: int, gate: Gate) -> None:
+    def _start_waiting(self, state: Client, group: int, queue: GroupQueue) -> None:
         """Something ended: what waited may go."""
-        self._skip(gate)
-        while gate.waiting and gate.lets(gate.waiting[0].kind):
-            self._request(state, gate, gate.waiting.popleft(), group)
-            self._skip(gate)
-
-    def _request(self, state: Client, gate: Gate, waiting: Waiting, group: int) -> None:
-        place, kind = waiting.place, waiting.kind
-        place.gate, place.kind = gate, kind
-        if kind.need is Need.WRITE:
-            gate.writes += 1
+        self._drop_answered(queue)
+        while queue.waiting and queue.admits(queue.waiting[0].request_class):
+            self._start_request(state, queue, queue.waiting.popleft(), group)
+            self._drop_answered(queue)
+
+    def _start_request(self, state: Client, queue: GroupQueue, waiting: WaitingCommand, group: int) -> None:
+        place, request_class = waiting.place, waiting.request_class
+        place.queue, place.request_class = queue, request_class
+        if request_class.need is Need.WRITE:
+            queue.active_writes += 1
         else:
-            gate.reads += 1
-        ask = Ask(state.id, kind, group, waiting.exchange, tenant=state.user, arrived=waiting.arrived)
-        if kind.need is Need.SESSION:
-            marks = self._marks(state)
+            queue.active_reads += 1
+        ask = Ask(
+            state.id, request_class, group, waiting.exchange, tenant=state.user, arrived=waiting.arrived
+        )
+        if request_class.need is Need.SESSION:
+            marks = self._session_marks(state)
             ask.seen = marks.get(group)
-            roams = self.config.sessions == "roaming" and not state.shown
-            ask.current = roams or (self.dropped and bool(state.name) and not marks)
+            roams = self.config.sessions == "roaming" and not state.sent_token
+            ask.current = roams or (self.marks_evicted and bool(state.name) and not marks)
         # the id is known only once the core took it, and the core may be done by then
         core_id = self.core.ids + 1
         place.request = core_id
@@ -411,72 +430,80 @@
         taken = self.core.submit(ask)
         assert taken == core_id
 
-    def _mark(self, marks: dict[int, Seen], group: int, seen: Seen) -> None:
+    def _merge_mark(self, marks: dict[int, Seen], group: int, seen: Seen) -> None:
         known = marks.get(group)
         marks[group] = seen if known is None else self._tracks[group].join(known, seen, self.core.now)
 
-    def _marks(self, state: Client) -> dict[int, Seen]:
+    def _session_marks(self, state: Client) -> dict[int, Seen]:
         """The session's marks: the connection's own, or those of the name it gave itself."""
         if not state.name:
-            return state.seen
+            return state.marks
         key = (state.user or "", state.name)
-        marks = self.sessions.get(key)
+        marks = self.named_sessions.get(key)
         if marks is None:
-            marks = self.sessions[key] = state.seen
-            if len(self.sessions) > SESSIONS:
-                self.dropped = bool(self.sessions.popitem(last=False)[1]) or self.dropped
-        self.sessions.move_to_end(key)
+            marks = self.named_sessions[key] = state.marks
+            if len(self.named_sessions) > MAX_NAMED_SESSIONS:
+                self.marks_evicted = bool(self.named_sessions.popitem(last=False)[1]) or self.marks_evicted
+        self.named_sessions.move_to_end(key)
         return marks
 
-    def _say(self, state: Client, place: Place, value: object) -> None:
+    def _reply(self, state: Client, place: Place, value: object) -> None:
         place.answer = encode(value, state.proto)
 
-    def _local(self, state: Client, place: Place, name: bytes, args: list[bytes]) -> None:
+    def _answer_locally(self, state: Client, place: Place, name: bytes, args: list[bytes]) -> None:
         match name:
             case b"PING":
                 if len(args) > 2:
-                    return self._say(state, place, Error("ERR wrong number of arguments for 'ping' command"))
-                self._say(state, place, args[1] if len(args) > 1 else Simple("PONG"))
+                    return self._reply(
+                        state, place, Error("ERR wrong number of arguments for 'ping' command")
+                    )
+                self._reply(state, place, args[1] if len(args) > 1 else Simple("PONG"))
             case b"ECHO":
-                self._say(state, place, args[1])
+                self._reply(state, place, args[1])
             case b"QUIT":
-                self._say(state, place, OK)
+                self._reply(state, place, OK)
                 state.closing = True
             case b"SELECT":
-                self._say(state, place, OK if args[1] == b"0" else Error("ERR DB index is out of range"))
+                self._reply(state, place, OK if args[1] == b"0" else Error("ERR DB index is out of range"))
             case b"AUTH":
                 user = args[1].decode("utf-8", "replace") if len(args) > 2 else "default"
-                self._say(state, place, self._login(state, user, args[-1]) or OK)
+                self._reply(state, place, self._login(state, user, args[-1]) or OK)
             case b"HELLO":
                 self._hello(state, place, args)
             case b"RESET":
-                state.units, state.spoilt, state.proto, state.name, state.seen = None, False, 2, "", {}
-                state.user, state.shown = None, False
-                self._say(state, place, Simple("RESET"))
+                state.transaction, state.transaction_failed, state.proto, state.name, state.marks = (
+                    None,
+                    False,
+                    2,
+                    "",
+                    {},
+                )
+                state.user, state.sent_token = None, False
+                self._reply(state, place, Simple("RESET"))
             case b"CLIENT":
-                self._client(state, place, args)
+                self._client_command(state, place, args)
             case b"COMMAND":
-                self._commands(state, place, args)
+                self._command_command(state, place, args)
             case b"INFO":
-                place.answer = encode(self._info(args[1:]), state.proto)
+                place.answer = encode(self._info_text(args[1:]), state.proto)
             case b"ROLE":
-                self._say(state, place, ["master", 0, []])
+                self._reply(state, place, ["master", 0, []])
             case b"WAIT":
-                self._wait(state, place, args)
+                self._wait_for_replicas(state, place, args)
             case b"MULTI":
-                if state.units is not None:
-                    return self._say(state, place, Error("ERR MULTI calls can not be nested"))
-                state.units, state.spoilt = [], False
-                self._say(state, place, OK)
+                if state.transaction is not None:
+                    return self._reply(state, place, Error("ERR MULTI calls can not be nested"))
+                state.transaction, state.transaction_failed = [], False
+                self._reply(state, place, OK)
             case b"DISCARD":
-                was, state.units = state.units, None
-                self._say(state, place, OK if was is not None else Error("ERR DISCARD without MULTI"))
+                was, state.transaction = state.transaction, None
+                self._reply(state, place, OK if was is not None else Error("ERR DISCARD without MULTI"))
             case b"EXEC":
                 self._exec(state, place)
             case b"BANKLIFT.TOKEN":
-                place.late = lambda: self._token(state)
+                place.deferred = lambda: self._token_text(state)
             case b"BANKLIFT.SEEN":
-                self._seen(state, place, args[1])
+                self._restore_marks(state, place, args[1])
 
     def _login(self, state: Client, user: str, password: bytes) -> Error | None:
         if not self.passwords:
@@ -493,21 +520,21 @@
         proto, rest = state.proto, args[1:]
         if rest:
             if rest[0] not in (b"2", b"3"):
-                return self._say(state, place, Error("NOPROTO unsupported protocol version"))
+                return self._reply(state, place, Error("NOPROTO unsupported protocol version"))
             proto, rest = int(rest[0]), rest[1:]
         name = None
         while rest:
             option = rest[0].upper()
             if option == b"AUTH" and len(rest) >= 3:
                 if (error := self._login(state, rest[1].decode("utf-8", "replace"), rest[2])) is not None:
-                    return self._say(state, place, error)
+                    return self._reply(state, place, error)
                 rest = rest[3:]
             elif option == b"SETNAME" and len(rest) >= 2:
                 name, rest = rest[1], rest[2:]
             else:
-                return self._say(state, place, Error("ERR Syntax error in HELLO"))
+                return self._reply(state, place, Error("ERR Syntax error in HELLO"))
         if self.passwords and state.user is None:
-            return self._say(
+            return self._reply(
                 state,
                 place,
                 Error(
@@ -516,15 +543,15 @@
                     "the RESP protocol version at the same time"
                 ),
             )
-        if name is not None and (error := self._rename(state, name)) is not None:
-            return self._say(state, place, error)
+        if name is not None and (error := self._set_client_name(state, name)) is not None:
+            return self._reply(state, place, error)
         state.proto = proto
-        self._say(
+        self._reply(
             state,
             place,
             {
                 "server": "banklift",
-                "version": VERSION,
+                "version": REDIS_VERSION,
                 "proto": proto,
                 "id": state.id,
                 "mode": "standalone",
@@ -533,55 +560,55 @@
             },
         )
 
-    def _rename(self, state: Client, name: bytes) -> Error | None:
+    def _set_client_name(self, state: Client, name: bytes) -> Error | None:
         if any(byte < 33 or byte > 126 for byte in name):
             return Error("ERR Client names cannot contain spaces, newlines or special characters.")
-        before = self._marks(state)
+        before = self._session_marks(state)
         state.name = name.decode()
-        own = self._marks(state)
+        own = self._session_marks(state)
         if own is not before:  # what the connection has seen until now, the named session has seen
             for group, seen in before.items():
-                self._mark(own, group, seen)
+                self._merge_mark(own, group, seen)
         return None
 
-    def _client(self, state: Client, place: Place, args: list[bytes]) -> None:
+    def _client_command(self, state: Client, place: Place, args: list[bytes]) -> None:
         sub = args[1].upper()
         if sub == b"ID":
-            self._say(state, place, state.id)
+            self._reply(state, place, state.id)
         elif sub == b"GETNAME":
-            self._say(state, place, state.name or None)
+            self._reply(state, place, state.name or None)
         elif sub == b"SETNAME" and len(args) == 3:
-            self._say(state, place, self._rename(state, args[2]) or OK)
+            self._reply(state, place, self._set_client_name(state, args[2]) or OK)
         elif sub in (b"SETINFO", b"NO-EVICT", b"NO-TOUCH"):
-            self._say(state, place, OK)
+            self._reply(state, place, OK)
         elif sub == b"INFO":
-            self._say(
+            self._reply(
                 state,
                 place,
                 f"id={state.id} name={state.name} resp={state.proto} user={state.user or 'default'}\n",
             )
         else:
-            self._say(
+            self._reply(
                 state, place, Error(f"ERR unknown subcommand '{args[1][:128].decode('utf-8', 'replace')}'")
             )
 
-    def _commands(self, state: Client, place: Place, args: list[bytes]) -> None:
+    def _command_command(self, state: Client, place: Place, args: list[bytes]) -> None:
         sub = args[1].upper() if len(args) > 1 else b"INFO"
-        carried = {name: known for name, known in COMMANDS.items() if known.kind is not Kind.ALONE}
+        carried = {name: known for name, known in COMMANDS.items() if known.kind is not Kind.DEDICATED}
         if sub == b"COUNT":
-            return self._say(state, place, len(carried))
+            return self._reply(state, place, len(carried))
         if sub == b"LIST":
-            return self._say(state, place, [name.lower() for name in carried])
+            return self._reply(state, place, [name.lower() for name in carried])
         if sub == b"GETKEYS" and len(args) > 2:
             known = lookup(args[2])
             try:
                 keys = known.keys(args[2:]) if known is not None else []
             except (ValueError, IndexError):
                 keys = []
-            return self._say(state, place, keys or Error("ERR The command has no key arguments"))
+            return self._reply(state, place, keys or Error("ERR The command has no key arguments"))
         if sub == b"DOCS":
             names = [name.upper() for name in args[2:]] or list(carried)
-            return self._say(
+            return self._reply(
                 state,
                 place,
                 {
@@ -592,15 +619,17 @@
             )
         if sub == b"INFO":
             names = [name.upper() for name in args[2:]] or list(carried)
-            return self._say(
-                state, place, [_describe(carried[name]) if name in carried else None for name in names]
+            return self._reply(
+                state, place, [_command_info(carried[name]) if name in carried else None for name in names]
             )
-        self._say(state, place, Error(f"ERR unknown subcommand '{args[1][:128].decode('utf-8', 'replace')}'"))
+        self._reply(
+            state, place, Error(f"ERR unknown subcommand '{args[1][:128].decode('utf-8', 'replace')}'")
+        )
 
-    def _info(self, sections: list[bytes]) -> str:
+    def _info_text(self, sections: list[bytes]) -> str:
         wanted = {section.lower() for section in sections} or {b"default"}
         parts = {
-            b"server": f"# Server\r\nredis_version:{VERSION}\r\nredis_mode:standalone\r\n"
+            b"server": f"# Server\r\nredis_version:{REDIS_VERSION}\r\nredis_mode:standalone\r\n"
             f"banklift_router:{self.config.name}\r\n",
             b"clients": f"# Clients\r\nconnected_clients:{len(self.clients)}\r\n",
             b"replication": "# Replication\r\nrole:master\r\nconnected_slaves:0\r\n",
@@ -609,42 +638,42 @@
         return "\r\n".join(text for name, text in parts.items() if every or name in wanted)
 
     def _exec(self, state: Client, place: Place) -> None:
-        units, state.units = state.units, None
+        units, state.transaction = state.transaction, None
         if units is None:
-            return self._say(state, place, Error("ERR EXEC without MULTI"))
-        if state.spoilt:
-            state.spoilt = False
-            return self._say(
+            return self._reply(state, place, Error("ERR EXEC without MULTI"))
+        if state.transaction_failed:
+            state.transaction_failed = False
+            return self._reply(
                 state, place, Error("EXECABORT Transaction discarded because of previous errors.")
             )
         if not units:
-            return self._say(state, place, [])
-        kind = strongest(
+            return self._reply(state, place, [])
+        request_class = strictest_class(
             [
-                self.routes.kind(
+                self.routes.request_class(
                     known.name.encode(), known.keys(args), known.kind is Kind.WRITE, state.user or "default"
                 )
                 for known, args, _, _ in units
             ]
         )
-        writes = kind.need is Need.WRITE
+        writes = request_class.need is Need.WRITE
         data = tuple(command(*args) for _, args, _, _ in units)
-        self._submit(state, place, kind, units[0][3], Unit(state.proto, data, writes))
+        self._submit(state, place, request_class, units[0][3], Transaction(state.proto, data, writes))
 
     # ---- marks of sessions
 
-    def _token(self, state: Client) -> str:
+    def _token_text(self, state: Client) -> str:
         """Where the session's writes stand: `group=history:offset`, or `group=?` where that is not known."""
         return (
             ",".join(
                 f"{self.group_names[group]}=" + (f"{seen.replid}:{seen.offset}" if seen.replid else "?")
-                for group, mark in sorted(self._marks(state).items(), key=lambda pair: pair[0])
+                for group, mark in sorted(self._session_marks(state).items(), key=lambda pair: pair[0])
                 for seen in mark.parts()
             )
             or "-"
         )
 
-    def _seen(self, state: Client, place: Place, token: bytes) -> None:
+    def _restore_marks(self, state: Client, place: Place, token: bytes) -> None:
         marks: dict[int, Seen] = {}
         try:
             for part in token.decode().split(",") if token != b"-" else []:
@@ -652,61 +681,61 @@
                 replid, _, offset = mark.partition(":")
                 group = self.group_names.index(name)
                 seen = Seen(self.core.now) if mark == "?" else Seen(self.core.now, replid, int(offset))
-                self._mark(marks, group, seen)
+                self._merge_mark(marks, group, seen)
         except ValueError:
-            return self._say(state, place, Error("ERR not a token of BANKLIFT.TOKEN"))
-        state.shown = True
+            return self._reply(state, place, Error("ERR not a token of BANKLIFT.TOKEN"))
+        state.sent_token = True
         for group, shown in marks.items():
             met = [
                 self._tracks[group].meet(seen.replid, self.core.now) for seen in shown.parts() if seen.replid
             ]
             if any(met):
                 self.core.refresh(group)  # somebody leads a history that is news here
-        own = self._marks(state)
+        own = self._session_marks(state)
         for group, seen in marks.items():
-            self._mark(own, group, seen)
-        self._say(state, place, OK)
+            self._merge_mark(own, group, seen)
+        self._reply(state, place, OK)
 
-    def _wait(self, state: Client, place: Place, args: list[bytes]) -> None:
+    def _wait_for_replicas(self, state: Client, place: Place, args: list[bytes]) -> None:
         """How many replicas have the session's writes: once that many do, or the time is over (0: no end)."""
         try:
             wanted, end = int(args[1]), int(args[2]) / 1000
         except ValueError:
-            return self._say(state, place, Error("ERR value is not an integer or out of range"))
+            return self._reply(state, place, Error("ERR value is not an integer or out of range"))
         if end < 0:
-            return self._say(state, place, Error("ERR timeout is negative"))
+            return self._reply(state, place, Error("ERR timeout is negative"))
         end = self.core.now + end if end else math.inf
 
-        def look() -> object:
+        def count_or_poll() -> object:
             counts = []
-            for group, seen in self._marks(state).items():
+            for group, seen in self._session_marks(state).items():
                 track = self._tracks[group]
                 counts.append(sum(name != track.owner and track.holds(name, seen) for name in track.places))
             count = min(counts, default=0)
             if count >= wanted or self.core.now >= end or not counts:
                 return count
-            for group in self._marks(state):
+            for group in self._session_marks(state):
                 self.core.refresh(group)
-            self.core.at(min(end, self.core.now + WAIT_LOOK), lambda: self._flush(state))
-            return NOT_YET
+            self.core.at(min(end, self.core.now + WAIT_POLL_SECONDS), lambda: self._flush(state))
+            return NOT_READY
 
-        place.late = look
+        place.deferred = count_or_poll
 
 
-def _describe(known: Command) -> list[object]:
+def _command_info(known: Command) -> list[object]:
     """A command in the form of `COMMAND INFO`."""
     flags = [
         Simple("write" if known.kind is Kind.WRITE else "readonly" if known.kind is Kind.READ else "fast")
     ]
-    if known.counted:
+    if known.key_count_index:
         flags.append(Simple("movablekeys"))
     return [
         known.name.lower(),
-        -known.arity,
+        -known.min_args,
         flags,
-        known.first,
-        known.last if known.first else 0,
-        known.step if known.first else 0,
+        known.first_key,
+        known.last_key if known.first_key else 0,
+        known.key_step if known.first_key else 0,
         [],
         [],
         [],
--- a/banklift/resp/routes.py
+++ b/banklift/resp/routes.py
@@ -12,11 +12,11 @@
 EFFECTS = {Effect.SAFE: 0, Effect.KEYED: 1, Effect.UNSAFE: 2}
 
 
-class CrossGroup(Exception):
+class CrossGroupKeys(Exception):
     """Keys of one command belong to several groups."""
 
 
-class Unowned(Exception):
+class UnownedKey(Exception):
     """No group owns a key."""
 
 
@@ -64,21 +64,21 @@
         }
 
     def group(self, keys: list[bytes]) -> int:
-        """The group that owns the keys. Errors: `CrossGroup`, `Unowned`."""
+        """The group that owns the keys. Errors: `CrossGroupKeys`, `UnownedKey`."""
         owner = None
         for key in keys:
             place = next((place for prefix, place in self.prefixes if key.startswith(prefix)), None)
             if place is None:
                 place = self.slots.get(slot(key))
             if place is None:
-                raise Unowned(key)
+                raise UnownedKey(key)
             if owner is not None and place != owner:
-                raise CrossGroup(key)
+                raise CrossGroupKeys(key)
             owner = place
         assert owner is not None
         return owner
 
-    def kind(self, name: bytes, keys: list[bytes], writes: bool, user: str) -> RequestClass:
+    def request_class(self, name: bytes, keys: list[bytes], writes: bool, user: str) -> RequestClass:
         """The class of a command; one that reads never goes to a class less careful than its keys' route says,
         and one that writes never to a class that replicas may serve."""
         names: list[str] | None = None
@@ -95,8 +95,8 @@
         return self.write if writes else self.read
 
 
-def strongest(kinds: list[RequestClass]) -> RequestClass:
-    """The class that a unit of several commands goes by: the strongest effect, then the most demanding need."""
+def strictest_class(kinds: list[RequestClass]) -> RequestClass:
+    """The class that a unit of several commands goes by: the strictest_class effect, then the most demanding need."""
     return max(
         kinds,
         key=lambda kind: (
--- a/banklift/resp/wire.py
+++ b/banklift/resp/wire.py
@@ -144,7 +144,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unit:
+class Transaction:
     """The commands of a MULTI, sent as one atomic unit with the client's EXEC."""
 
     flavour: int
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -17,7 +17,7 @@
 from banklift.config import build
 from banklift.config.load import EXAMPLE, ConfigError, evaluate, load, load_roster
 from banklift.interface import Need
-from banklift.resp.routes import CrossGroup, Routes, Unowned, strongest
+from banklift.resp.routes import CrossGroupKeys, Routes, UnownedKey, strictest_class
 
 Doc = dict[str, Any]
 
@@ -134,25 +134,25 @@
 def test_routes() -> None:
     config = load(EXAMPLE)
     routes = Routes(config)
-    assert routes.kind(b"GET", [b"trace:1"], False, "default").name == "trace-view"
-    assert routes.kind(b"GET", [b"trace:1", b"pick:1"], False, "default").name == "own-picks"
+    assert routes.request_class(b"GET", [b"trace:1"], False, "default").name == "trace-view"
+    assert routes.request_class(b"GET", [b"trace:1", b"pick:1"], False, "default").name == "own-picks"
     assert (
-        routes.kind(b"LPOP", [b"trace:1"], True, "default").name == "pick-save"
+        routes.request_class(b"LPOP", [b"trace:1"], True, "default").name == "pick-save"
     )  # a read's route is none for a write
-    assert routes.kind(b"SET", [b"note:1"], True, "default").name == "note"
+    assert routes.request_class(b"SET", [b"note:1"], True, "default").name == "note"
     assert routes.group([b"{a}1", b"{a}2"]) in (0, 1)
-    with pytest.raises(CrossGroup):
+    with pytest.raises(CrossGroupKeys):
         routes.group([b"a", b"b", b"c", b"d", b"e"])
     holed = msgspec.structs.replace(
         config, groups=[msgspec.structs.replace(config.groups[0], prefixes=["pick:"])]
     )
     routes = Routes(holed)
     assert routes.group([b"pick:anything"]) == 0
-    with pytest.raises(Unowned):
+    with pytest.raises(UnownedKey):
         for number in range(100):
             routes.group([b"%d" % number])
     kinds = [routes.classes[name] for name in ("note", "pick-save", "final")]
-    assert strongest(kinds).name == "pick-save" and strongest(kinds[2:]).need is Need.FRESH
+    assert strictest_class(kinds).name == "pick-save" and strictest_class(kinds[2:]).need is Need.FRESH
 
 
 def test_a_roster_is_whole_or_refused(tmp_path: Path) -> None:
