--- a/banklift/resp/front.py
+++ b/banklift/resp/front.py
@@ -1,19 +1,28 @@
-"""A RESP client's connection: commands in, answers out in the client's order.
-
-Theory of operation. Each command takes a place in the connection's line; its answer fills the place, whenever it comes,
-and answers leave from the front of the line only. Commands of one connection and group keep their order towards members
-as far as it can be seen: a write waits for all before it, a session's or a fresh read for the writes before it. What
-the connection itself means (HELLO, AUTH, MULTI ...) is answered here at once; the rest becomes a request of the core. A
-line that grows too long is no longer read. As answers leave in order, one that is late holds up those behind it: when
-the time of a command is over, everything in front of it that has no answer is given up, so its answer is out in time
-too; only a `WAIT` may hold up what is behind it, as its client asked for that. A client that closes its side gets what
-is under way; what still waits is refused at once, as it may be gone.
-
-The router's own words, each held against the members' logs by the judge:
-
-- `-TRYAGAIN refused: nothing ran; retry_after_ms=N`: no member got it, or each that did said that nothing ran;
-- `-TRYAGAIN refused: it may have run and is safe to repeat; retry_after_ms=N`: a member got it and did not say;
-- `-UNCERTAIN failed: it may have run`: the same of what is not safe to repeat.
+"""Connections of Redis clients: reads commands and sends replies in the order of the commands.
+
+Theory of operation:
+
+- Every command of a connection has an entry in the connection's pipeline. Replies may become known in any order; they
+  are sent only from the head of the pipeline. A connection whose pipeline is full is no longer read.
+- Commands of one connection to one group keep their order towards members as far as a client can observe it: a write
+  waits for all commands before it, a session or fresh read for the writes before it. A command never overtakes one that
+  waits in the same group.
+- Commands about the connection itself (HELLO, AUTH, MULTI and so on) are answered here; the others become requests of
+  the core.
+- Since replies leave in order, a late one delays those behind it. When the time of a command is over, every command
+  ahead of it that has no reply yet is given up, so that its own reply leaves in time. Only `WAIT` may delay the
+  commands behind it, since its client asked for that.
+- When a client closes its sending side, requests that are under way are still answered. Commands that wait are refused
+  at once, as the client may be gone.
+
+Error replies of the router itself. The judge checks each of them against the members' logs:
+
+- `-TRYAGAIN refused: nothing ran; retry_after_ms=N`: no member received the request, or every member that received it
+  rejected it without running it;
+- `-TRYAGAIN refused: it may have run and is safe to repeat; retry_after_ms=N`: a member received the request, its
+  outcome is unknown, and repeating it is safe;
+- `-UNCERTAIN failed: it may have run`: a member received the request, its outcome is unknown, and repeating it is not
+  safe.
 """
 
 from __future__ import annotations
@@ -35,61 +44,67 @@
 from banklift.resp.routes import CrossGroupKeys, Routes, UnownedKey, strictest_class
 from banklift.resp.wire import Single, Transaction
 
-REDIS_VERSION = "7.2.0"  # of the protocol's commands that clients may expect
-MAX_NAMED_SESSIONS = 10_000  # named sessions whose marks are kept
+REDIS_VERSION = "7.2.0"  # of Redis, whose commands clients may expect
+MAX_NAMED_SESSIONS = 10_000  # beyond this, the marks of the least recently used session are dropped
 OK = Simple("OK")
-NOT_READY = object()  # what a late answer may say: ask again
-FLUSH_PAUSE_BYTES = (
-    1024 * 1024
-)  # bytes of answers let go at once after which nothing is begun in the same moment
-WAIT_POLL_SECONDS = 0.02  # seconds between looks at what replicas have, for WAIT
-
-
+NOT_READY = object()  # returned by a deferred reply that has to be asked for again
+# Bytes of replies sent by one flush beyond which reading pauses until it is known whether the client takes them.
+FLUSH_PAUSE_BYTES = 1024 * 1024
+WAIT_POLL_SECONDS = 0.02  # between two polls of the replicas' offsets for WAIT
 UNCERTAIN_ERROR = encode(Error("UNCERTAIN failed: it may have run"))
 
 
-def encode_refusal(wait: float, touched: bool) -> bytes:
-    """The answer to a refused request. `wait`: seconds; `touched`: a member may have run it."""
+def encode_refusal(retry_after: float, touched: bool) -> bytes:
+    """Encodes the reply to a refused request that is safe to send again.
+
+    `retry_after`: seconds. `touched`: whether a member may have run it.
+    """
     outcome = "it may have run and is safe to repeat" if touched else "nothing ran"
-    return encode(Error(f"TRYAGAIN refused: {outcome}; retry_after_ms={round(wait * 1000)}"))
+    return encode(Error(f"TRYAGAIN refused: {outcome}; retry_after_ms={round(retry_after * 1000)}"))
 
 
 @dataclass(slots=True, eq=False)
 class Place:
-    """One command in the line."""
+    """One command in a connection's pipeline, with its reply once that is known."""
 
     answer: bytes | None = None
-    request: int | None = None
-    deferred: Callable[[], object] | None = None  # makes the answer once all before it are answered
-    queue: GroupQueue | None = None  # what its request counts at ...
-    request_class: RequestClass | None = None  # ... and as
+    request: int | None = None  # the core's id of its request
+    # computes the reply once all commands before it are answered; may return `NOT_READY`
+    deferred: Callable[[], object] | None = None
+    queue: GroupQueue | None = None  # the queue in which its request counts as active
+    request_class: RequestClass | None = None  # the class under which its request counts there
 
 
 @dataclass(slots=True, eq=False)
 class WaitingCommand:
-    """A command that waits for those before it."""
+    """A command that waits for earlier commands of its connection and group."""
 
     place: Place
     request_class: RequestClass
     exchange: Single | Transaction
-    arrived: float
+    arrived: float  # router's clock, seconds
 
 
 @dataclass(slots=True, eq=False)
 class GroupQueue:
-    """What one connection has under way in one group."""
+    """The commands of one connection in one group: how many are active, and which wait for them, in order."""
 
     active_reads: int = 0
     active_writes: int = 0
     waiting: deque[WaitingCommand] = field(default_factory=deque)
 
     def release(self, request_class: RequestClass) -> None:
+        """Counts a request of this class as ended."""
         if request_class.need is Need.WRITE:
             self.active_writes -= 1
         else:
             self.active_reads -= 1
 
     def admits(self, request_class: RequestClass) -> bool:
+        """Whether a request of this class may start beside the active ones.
+
+        A write starts alone. A session or fresh read waits for writes; a bounded read and one of need `any` don't.
+        """
         if request_class.need is Need.WRITE:
             return not self.active_reads and not self.active_writes
         return not self.active_writes or request_class.need in (Need.BOUNDED, Need.ANY)
@@ -97,40 +112,51 @@
 
 @dataclass(slots=True, eq=False)
 class Client:
+    """The state of one client connection."""
+
     id: int
     reader: CommandReader
-    line: deque[Place] = field(default_factory=deque)
-    proto: int = 2
-    user: str | None = None
-    name: str = ""
-    transaction: list[tuple[Command, list[bytes], RequestClass, int]] | None = None  # of a MULTI
-    transaction_failed: bool = False  # a command of the MULTI was refused
-    marks: dict[int, Seen] = field(default_factory=dict)
+    line: deque[Place] = field(default_factory=deque)  # the pipeline: commands not yet answered, oldest first
+    proto: int = 2  # version of RESP
+    user: str | None = None  # None until the client has logged in
+    name: str = ""  # set by the client; connections of one user and name share a session
+    # command, arguments, class and group of each command queued by MULTI; None outside a transaction
+    transaction: list[tuple[Command, list[bytes], RequestClass, int]] | None = None
+    transaction_failed: bool = False  # a command of the transaction was refused, so EXEC aborts
+    marks: dict[int, Seen] = field(default_factory=dict)  # by group: what the session has seen
     queues: dict[int, GroupQueue] = field(default_factory=dict)  # by group
-    sent_token: bool = False  # it shows its marks itself when it changes router
-    paused: bool = False
-    output_full: bool = False  # it does not read its answers
-    closing: bool = False  # nothing more is read; closed once the line is empty
-    latest_deadline: float = -math.inf  # when the time is over of whatever in the line has the most
+    sent_token: bool = False  # the client hands over its marks (BANKLIFT.SEEN) when it changes router
+    paused: bool = False  # the connection is not being read
+    output_full: bool = False  # the client does not read its replies
+    closing: bool = False  # nothing more is read; the connection is closed once the pipeline is empty
+    # the latest deadline of a request in the pipeline, in seconds of the router's clock
+    latest_deadline: float = -math.inf
 
 
 class RespFront:
+    """The clients' side of a router that speaks RESP: `Front` of proxy/wire.py."""
+
     def __init__(self, config: Config, core: Machine) -> None:
+        """`config`: the operator's file. `core`: the machine that runs this front; its proofs must be `RespProofs`."""
         self.config = config
         self.core = core
         assert isinstance(core.proofs, RespProofs)
         self._tracks = core.proofs.tracks
         self.routes = Routes(config)
         self.clients: dict[int, Client] = {}
-        self.places: dict[int, tuple[Client, Place]] = {}  # by request
+        self.places: dict[int, tuple[Client, Place]] = {}  # by the core's id of the request
+        # marks by group of each named session, by user and name, least recently used first
         self.named_sessions: OrderedDict[tuple[str, str], dict[int, Seen]] = OrderedDict()
-        self.marks_evicted = False  # marks of a named session were dropped, so an unknown one may have some
+        # once marks of a named session were dropped, a named session without marks may have had some
+        self.marks_evicted = False
+        # by user; if there are none, no login is needed
         self.passwords = {user.name: user.password for user in config.users}
         self.group_names = [group.name for group in config.groups]
 
     # ---- events of the core
 
     def opened(self, client: int) -> None:
+        """A client connected; it is turned away if `limits.clients` connections are open."""
         if len(self.clients) >= self.config.limits.clients:
             self.core.actions.append(ev.ToClient(client, b"-ERR max number of clients reached\r\n"))
             self.core.actions.append(ev.CloseClient(client))
@@ -138,31 +164,35 @@
         self.clients[client] = Client(client, CommandReader(self.config.limits.frame))
 
     def data(self, client: int, data: bytes) -> None:
+        """Bytes of a client arrived: runs the commands that are complete."""
         state = self.clients.get(client)
         if state is not None and not state.closing:
             state.reader.feed(data)
             self._read_commands(state)
 
     def eof(self, client: int) -> None:
+        """The client closed its sending side: refuses what waits, and closes once the rest is answered."""
         state = self.clients.get(client)
         if state is None:
             return
         state.closing = True
-        gone = encode(Error("TRYAGAIN refused: nothing ran; the client closed its side"))
+        refused = encode(Error("TRYAGAIN refused: nothing ran; the client closed its side"))
         for queue in state.queues.values():
             for waiting in queue.waiting:
                 if waiting.place.answer is None:
-                    waiting.place.answer = gone
+                    waiting.place.answer = refused
             queue.waiting.clear()
         for place in list(state.line):
             if place.request is not None and place.answer is None and not self.core.under_way(place.request):
-                self._give_up(place, gone)
+                self._give_up(place, refused)
         self._flush(state)
 
     def half_closed(self, client: int) -> None:
-        return  # it may read on, and what it sent before is owed its answers; `eof` comes once that was read
+        """Does nothing: commands that are unread still get their replies, and `eof` follows once they are read."""
+        return
 
     def lost(self, client: int) -> None:
+        """The connection is gone: abandons its requests."""
         state = self.clients.pop(client, None)
         if state is None:
             return
@@ -174,6 +204,7 @@
                 self.core.abandon(place.request)
 
     def full(self, client: int, is_full: bool) -> None:
+        """The client has stopped reading its replies, or reads them again: pauses or resumes its commands."""
         state = self.clients.get(client)
         if state is not None:
             state.output_full = is_full
@@ -182,8 +213,9 @@
             else:
                 self._flush(state)
 
-    def done(self, ask: Ask, final: Final) -> None:
-        found = self.places.pop(ask.ids[0], None) if ask.ids else None
+    def done(self, request: Ask, final: Final) -> None:
+        """The core has finished a request: stores the reply and starts what waited for it."""
+        found = self.places.pop(request.ids[0], None) if request.ids else None
         if found is None:
             return
         state, place = found
@@ -191,55 +223,67 @@
             case Served(answer, seen):
                 place.answer = answer
                 if seen is not None:
-                    self._merge_mark(self._session_marks(state), ask.group, seen)
-            case Refused(wait, touched):
-                place.answer = encode_refusal(wait, touched)
+                    self._merge_mark(self._session_marks(state), request.group, seen)
+            case Refused(retry_after, touched):
+                place.answer = encode_refusal(retry_after, touched)
             case Failed():
                 place.answer = UNCERTAIN_ERROR
         if place.queue is not None:
-            place.queue.release(ask.kind)
-            self._start_waiting(state, ask.group, place.queue)
+            place.queue.release(request.kind)
+            self._start_waiting(state, request.group, place.queue)
         self._flush(state)
 
     def adopt(self, plan: object) -> None:
-        """What was read before keeps its class, but for a MULTI, which is taken when its EXEC comes. Who is a user no
-        more, or has another password now, is sent away once what is open is answered."""
+        """Classifies commands by another file from now on.
+
+        Commands that were read before keep their class, except those of a MULTI, whose class is set at EXEC. A client
+        whose user was removed or has another password is disconnected once its commands are answered.
+        """
         assert isinstance(plan, Config)
         self.config = plan
         self.routes = Routes(plan)
-        before, self.passwords = self.passwords, {user.name: user.password for user in plan.users}
+        old_passwords = self.passwords
+        self.passwords = {user.name: user.password for user in plan.users}
         for state in list(self.clients.values()):
-            if state.user is not None and self.passwords.get(state.user) != before.get(state.user):
+            if state.user is not None and self.passwords.get(state.user) != old_passwords.get(state.user):
                 state.closing = True
                 self._flush(state)
 
     def drain(self) -> None:
+        """Does nothing: commands are taken until `leave`, and the core ends them in time."""
         return
 
     def leave(self) -> None:
+        """Closes every connection once its commands are answered."""
         for state in list(self.clients.values()):
             state.closing = True
             self._flush(state)
 
-    # ---- the line
+    # ---- the pipeline
 
     def _give_up(self, place: Place, untouched: bytes) -> None:
-        """Answer a command at once, by what is known of it. `untouched`: the words if no member got it."""
+        """Answers a command now, by what is known of its outcome. `untouched`: the reply if no member received it."""
         if place.request is None:
             place.answer = untouched
             return
-        touched, repeats = self.core.touched(place.request), self.core.repeats(place.request)
+        touched = self.core.touched(place.request)
+        repeatable = self.core.repeats(place.request)
         self.core.abandon(place.request)
         self.places.pop(place.request, None)
-        place.answer = untouched if not touched else encode_refusal(0.0, True) if repeats else UNCERTAIN_ERROR
+        place.answer = (
+            untouched if not touched else encode_refusal(0.0, True) if repeatable else UNCERTAIN_ERROR
+        )
         if place.queue is not None and place.request_class is not None:
             place.queue.release(place.request_class)
 
     def _overdue(self, state: Client, place: Place) -> None:
-        """The time of a command is over, and something in front of it has more: that is given up with it."""
+        """The time of a command is over, but a command ahead of it has a later deadline.
+
+        Gives up everything without a reply up to and including this command, so that its reply leaves in time.
+        """
         if state.id not in self.clients or place not in state.line:
             return
-        for other in list(state.line):  # giving up one may end others, and let more be read
+        for other in list(state.line):  # copied, as giving up one may end others and let more be read
             if other.answer is None and other.deferred is None:
                 self._give_up(other, encode_refusal(0.0, False))
             if other is place:
@@ -249,6 +293,7 @@
         self._flush(state)
 
     def _read_commands(self, state: Client) -> None:
+        """Runs the commands that are complete, until the pipeline is full; then sends the replies that are ready."""
         limit = self.config.limits.pipeline
         try:
             while not state.closing:
@@ -267,20 +312,23 @@
         self._flush(state)
 
     def _pause(self, state: Client) -> None:
+        """Stops reading the connection until `_flush` resumes it."""
         if not state.paused:
             state.paused = True
             self.core.actions.append(ev.PauseClient(state.id))
 
     def _flush(self, state: Client) -> None:
-        line, out = state.line, []
+        """Sends the replies at the head of the pipeline, then closes, pauses or resumes the connection as needed."""
+        line = state.line
+        out = []
         while line:
-            front = line[0]
-            if front.answer is None and front.deferred is not None:
-                value = front.deferred()
-                front.answer = None if value is NOT_READY else encode(value, state.proto)
-            if front.answer is None:
+            head = line[0]
+            if head.answer is None and head.deferred is not None:
+                value = head.deferred()
+                head.answer = None if value is NOT_READY else encode(value, state.proto)
+            if head.answer is None:
                 break
-            out.append(front.answer)
+            out.append(head.answer)
             line.popleft()
         if state.id not in self.clients:
             return
@@ -289,7 +337,7 @@
         if state.closing and not line:
             del self.clients[state.id]
             self.core.actions.append(ev.CloseClient(state.id))
-        elif sum(map(len, out)) > FLUSH_PAUSE_BYTES:  # whether the client reads it is known a moment later
+        elif sum(map(len, out)) > FLUSH_PAUSE_BYTES:  # the core's next turn knows whether the client is slow
             self._pause(state)
             self.core.at(self.core.now, lambda: self._flush(state))
         elif state.paused and not state.output_full and len(line) <= self.config.limits.pipeline // 2:
@@ -300,30 +348,33 @@
     # ---- commands
 
     def _dispatch(self, state: Client, place: Place, args: list[bytes]) -> None:
+        """Answers a command, queues it in a transaction, or submits it to the core."""
         name = args[0].upper()
-        known = lookup(name)
+        spec = lookup(name)
         if self.passwords and state.user is None and name not in (b"AUTH", b"HELLO", b"QUIT", b"RESET"):
             return self._reply(state, place, Error("NOAUTH Authentication required."))
-        if known is None:
-            shown = args[0][:128].decode("utf-8", "replace")
-            rest = " ".join(f"'{arg[:128].decode('utf-8', 'replace')}'" for arg in args[1:4])
+        if spec is None:
+            shown_name = args[0][:128].decode("utf-8", "replace")
+            shown_args = " ".join(f"'{arg[:128].decode('utf-8', 'replace')}'" for arg in args[1:4])
             state.transaction_failed = True
             return self._reply(
-                state, place, Error(f"ERR unknown command '{shown}', with args beginning with: {rest}")
+                state,
+                place,
+                Error(f"ERR unknown command '{shown_name}', with args beginning with: {shown_args}"),
             )
-        if len(args) < known.min_args:
+        if len(args) < spec.min_args:
             state.transaction_failed = True
             return self._reply(
-                state, place, Error(f"ERR wrong number of arguments for '{known.name.lower()}' command")
+                state, place, Error(f"ERR wrong number of arguments for '{spec.name.lower()}' command")
             )
-        if known.kind is Kind.DEDICATED:
+        if spec.kind is Kind.DEDICATED:
             state.transaction_failed = True
             return self._reply(
                 state,
                 place,
-                Error(f"ERR {known.name} needs a connection of its own, which this router doesn't give"),
+                Error(f"ERR {spec.name} needs a connection of its own, which this router doesn't give"),
             )
-        if known.kind is Kind.LOCAL:
+        if spec.kind is Kind.LOCAL:
             if state.transaction is not None and name not in (
                 b"EXEC",
                 b"DISCARD",
@@ -333,17 +384,17 @@
             ):
                 state.transaction_failed = True
                 return self._reply(
-                    state, place, Error(f"ERR {known.name} can't stand in a MULTI of this router")
+                    state, place, Error(f"ERR {spec.name} can't stand in a MULTI of this router")
                 )
             return self._answer_locally(state, place, name, args)
         try:
-            keys = known.keys(args)
+            keys = spec.keys(args)
             if not keys:
                 raise ValueError("no key")
             group = self.routes.group(keys)
         except ValueError as error:
             state.transaction_failed = True
-            return self._reply(state, place, Error(f"ERR {known.name}: keys can't be told: {error}"))
+            return self._reply(state, place, Error(f"ERR {spec.name}: keys can't be told: {error}"))
         except CrossGroupKeys:
             state.transaction_failed = True
             return self._reply(state, place, Error("CROSSSLOT Keys in request belong to different groups"))
@@ -351,15 +402,15 @@
             state.transaction_failed = True
             key = error.args[0][:64].decode("utf-8", "replace")
             return self._reply(state, place, Error(f"CLUSTERDOWN no group owns the key '{key}'"))
-        writes = known.kind is Kind.WRITE
+        writes = spec.kind is Kind.WRITE
         request_class = self.routes.request_class(name, keys, writes, state.user or "default")
         if state.transaction is not None:
-            if any(other != group for _, _, _, other in state.transaction):
+            if any(other_group != group for _, _, _, other_group in state.transaction):
                 state.transaction_failed = True
                 return self._reply(
                     state, place, Error("CROSSSLOT Keys of one MULTI belong to different groups")
                 )
-            state.transaction.append((known, args, request_class, group))
+            state.transaction.append((spec, args, request_class, group))
             return self._reply(state, place, Simple("QUEUED"))
         self._submit(
             state,
@@ -377,65 +428,77 @@
         group: int,
         exchange: Single | Transaction,
     ) -> None:
+        """Submits a request to the core, or queues it behind the commands it has to wait for."""
         queue = state.queues.get(group)
         if queue is None:
             queue = state.queues[group] = GroupQueue()
-        now = self.core.now if self.core.arrived is None else self.core.arrived
-        end = now + self.core.patience(request_class)
+        arrived = self.core.now if self.core.arrived is None else self.core.arrived
+        deadline = arrived + self.core.patience(request_class)
         if state.line[0] is place:
-            state.latest_deadline = end
-        elif end < state.latest_deadline:  # its time is over before that of something in front of it
-            self.core.at(end, lambda: self._overdue(state, place))
+            state.latest_deadline = deadline
+        elif deadline < state.latest_deadline:  # before that of a command ahead of it
+            self.core.at(deadline, lambda: self._overdue(state, place))
         else:
-            state.latest_deadline = end
-        waiting = WaitingCommand(place, request_class, exchange, now)
+            state.latest_deadline = deadline
+        waiting = WaitingCommand(place, request_class, exchange, arrived)
         self._drop_answered(queue)
         if not queue.waiting and queue.admits(request_class):
             return self._start_request(state, queue, waiting, group)
-        queue.waiting.append(waiting)  # what it waits for ends in time, or is given up with it
+        # its wait is bounded: each command ahead of it ends in time, or `_overdue` gives it up
+        queue.waiting.append(waiting)
 
     def _drop_answered(self, queue: GroupQueue) -> None:
-        """What was given up while it waited is passed over, and not kept for long."""
+        """Drops commands that were given up while they waited, so that the queue starts with one that still waits.
+
+        Those behind the head are dropped once the queue is longer than two full pipelines, to bound its memory.
+        """
         while queue.waiting and queue.waiting[0].place.answer is not None:
             queue.waiting.popleft()
         if len(queue.waiting) > 2 * self.config.limits.pipeline:
             queue.waiting = deque(waiting for waiting in queue.waiting if waiting.place.answer is None)
 
     def _start_waiting(self, state: Client, group: int, queue: GroupQueue) -> None:
-        """Something ended: what waited may go."""
+        """Starts the waiting commands that may go, after an active one has ended."""
         self._drop_answered(queue)
         while queue.waiting and queue.admits(queue.waiting[0].request_class):
             self._start_request(state, queue, queue.waiting.popleft(), group)
             self._drop_answered(queue)
 
     def _start_request(self, state: Client, queue: GroupQueue, waiting: WaitingCommand, group: int) -> None:
-        place, request_class = waiting.place, waiting.request_class
-        place.queue, place.request_class = queue, request_class
+        """Counts a command as active and hands its request to the core."""
+        place = waiting.place
+        request_class = waiting.request_class
+        place.queue = queue
+        place.request_class = request_class
         if request_class.need is Need.WRITE:
             queue.active_writes += 1
         else:
             queue.active_reads += 1
-        ask = Ask(
+        request = Ask(
             state.id, request_class, group, waiting.exchange, tenant=state.user, arrived=waiting.arrived
         )
         if request_class.need is Need.SESSION:
             marks = self._session_marks(state)
-            ask.seen = marks.get(group)
-            roams = self.config.sessions == "roaming" and not state.sent_token
-            ask.current = roams or (self.marks_evicted and bool(state.name) and not marks)
-        # the id is known only once the core took it, and the core may be done by then
-        core_id = self.core.ids + 1
-        place.request = core_id
-        self.places[core_id] = state, place
-        taken = self.core.submit(ask)
-        assert taken == core_id
+            request.seen = marks.get(group)
+            may_have_written_elsewhere = self.config.sessions == "roaming" and not state.sent_token
+            # without known marks, the read must see every commit before its arrival
+            request.current = may_have_written_elsewhere or (
+                self.marks_evicted and bool(state.name) and not marks
+            )
+        # `submit` may call `done` before it returns the id, so the entry is registered under the next id first
+        request_id = self.core.ids + 1
+        place.request = request_id
+        self.places[request_id] = state, place
+        submitted_id = self.core.submit(request)
+        assert submitted_id == request_id
 
     def _merge_mark(self, marks: dict[int, Seen], group: int, seen: Seen) -> None:
-        known = marks.get(group)
-        marks[group] = seen if known is None else self._tracks[group].join(known, seen, self.core.now)
+        """Adds what was seen in a group to the marks."""
+        current = marks.get(group)
+        marks[group] = seen if current is None else self._tracks[group].join(current, seen, self.core.now)
 
     def _session_marks(self, state: Client) -> dict[int, Seen]:
-        """The session's marks: the connection's own, or those of the name it gave itself."""
+        """The session's marks by group: the connection's own, or those shared under the name that the client set."""
         if not state.name:
             return state.marks
         key = (state.user or "", state.name)
@@ -448,9 +511,11 @@
         return marks
 
     def _reply(self, state: Client, place: Place, value: object) -> None:
+        """Sets the reply of a command that the router answers itself."""
         place.answer = encode(value, state.proto)
 
     def _answer_locally(self, state: Client, place: Place, name: bytes, args: list[bytes]) -> None:
+        """Runs a command that concerns the connection or the router only."""
         match name:
             case b"PING":
                 if len(args) > 2:
@@ -471,14 +536,13 @@
             case b"HELLO":
                 self._hello(state, place, args)
             case b"RESET":
-                state.transaction, state.transaction_failed, state.proto, state.name, state.marks = (
-                    None,
-                    False,
-                    2,
-                    "",
-                    {},
-                )
-                state.user, state.sent_token = None, False
+                state.transaction = None
+                state.transaction_failed = False
+                state.proto = 2
+                state.name = ""
+                state.marks = {}
+                state.user = None
+                state.sent_token = False
                 self._reply(state, place, Simple("RESET"))
             case b"CLIENT":
                 self._client_command(state, place, args)
@@ -493,11 +557,15 @@
             case b"MULTI":
                 if state.transaction is not None:
                     return self._reply(state, place, Error("ERR MULTI calls can not be nested"))
-                state.transaction, state.transaction_failed = [], False
+                state.transaction = []
+                state.transaction_failed = False
                 self._reply(state, place, OK)
             case b"DISCARD":
-                was, state.transaction = state.transaction, None
-                self._reply(state, place, OK if was is not None else Error("ERR DISCARD without MULTI"))
+                transaction = state.transaction
+                state.transaction = None
+                self._reply(
+                    state, place, OK if transaction is not None else Error("ERR DISCARD without MULTI")
+                )
             case b"EXEC":
                 self._exec(state, place)
             case b"BANKLIFT.TOKEN":
@@ -506,6 +574,7 @@
                 self._restore_marks(state, place, args[1])
 
     def _login(self, state: Client, user: str, password: bytes) -> Error | None:
+        """Logs a client in; returns the error if user and password don't match."""
         if not self.passwords:
             return Error(
                 "ERR AUTH <password> called without any password configured for the default user. "
@@ -517,11 +586,14 @@
         return None
 
     def _hello(self, state: Client, place: Place, args: list[bytes]) -> None:
-        proto, rest = state.proto, args[1:]
+        """HELLO: sets the protocol version, and logs in and names the client if asked to."""
+        proto = state.proto
+        rest = args[1:]
         if rest:
             if rest[0] not in (b"2", b"3"):
                 return self._reply(state, place, Error("NOPROTO unsupported protocol version"))
-            proto, rest = int(rest[0]), rest[1:]
+            proto = int(rest[0])
+            rest = rest[1:]
         name = None
         while rest:
             option = rest[0].upper()
@@ -530,7 +602,8 @@
                     return self._reply(state, place, error)
                 rest = rest[3:]
             elif option == b"SETNAME" and len(rest) >= 2:
-                name, rest = rest[1], rest[2:]
+                name = rest[1]
+                rest = rest[2:]
             else:
                 return self._reply(state, place, Error("ERR Syntax error in HELLO"))
         if self.passwords and state.user is None:
@@ -561,27 +634,29 @@
         )
 
     def _set_client_name(self, state: Client, name: bytes) -> Error | None:
+        """Makes the connection part of the user's session of that name; returns the error if the name is invalid."""
         if any(byte < 33 or byte > 126 for byte in name):
             return Error("ERR Client names cannot contain spaces, newlines or special characters.")
-        before = self._session_marks(state)
+        old_marks = self._session_marks(state)
         state.name = name.decode()
-        own = self._session_marks(state)
-        if own is not before:  # what the connection has seen until now, the named session has seen
-            for group, seen in before.items():
-                self._merge_mark(own, group, seen)
+        new_marks = self._session_marks(state)
+        if new_marks is not old_marks:  # the named session has seen what this connection saw before
+            for group, seen in old_marks.items():
+                self._merge_mark(new_marks, group, seen)
         return None
 
     def _client_command(self, state: Client, place: Place, args: list[bytes]) -> None:
-        sub = args[1].upper()
-        if sub == b"ID":
+        """CLIENT and its subcommands."""
+        subcommand = args[1].upper()
+        if subcommand == b"ID":
             self._reply(state, place, state.id)
-        elif sub == b"GETNAME":
+        elif subcommand == b"GETNAME":
             self._reply(state, place, state.name or None)
-        elif sub == b"SETNAME" and len(args) == 3:
+        elif subcommand == b"SETNAME" and len(args) == 3:
             self._reply(state, place, self._set_client_name(state, args[2]) or OK)
-        elif sub in (b"SETINFO", b"NO-EVICT", b"NO-TOUCH"):
+        elif subcommand in (b"SETINFO", b"NO-EVICT", b"NO-TOUCH"):
             self._reply(state, place, OK)
-        elif sub == b"INFO":
+        elif subcommand == b"INFO":
             self._reply(
                 state,
                 place,
@@ -593,40 +668,44 @@
             )
 
     def _command_command(self, state: Client, place: Place, args: list[bytes]) -> None:
-        sub = args[1].upper() if len(args) > 1 else b"INFO"
-        carried = {name: known for name, known in COMMANDS.items() if known.kind is not Kind.DEDICATED}
-        if sub == b"COUNT":
-            return self._reply(state, place, len(carried))
-        if sub == b"LIST":
-            return self._reply(state, place, [name.lower() for name in carried])
-        if sub == b"GETKEYS" and len(args) > 2:
-            known = lookup(args[2])
+        """COMMAND and its subcommands: describes the commands that the router supports."""
+        subcommand = args[1].upper() if len(args) > 1 else b"INFO"
+        supported = {name: spec for name, spec in COMMANDS.items() if spec.kind is not Kind.DEDICATED}
+        if subcommand == b"COUNT":
+            return self._reply(state, place, len(supported))
+        if subcommand == b"LIST":
+            return self._reply(state, place, [name.lower() for name in supported])
+        if subcommand == b"GETKEYS" and len(args) > 2:
+            spec = lookup(args[2])
             try:
-                keys = known.keys(args[2:]) if known is not None else []
+                keys = spec.keys(args[2:]) if spec is not None else []
             except (ValueError, IndexError):
                 keys = []
             return self._reply(state, place, keys or Error("ERR The command has no key arguments"))
-        if sub == b"DOCS":
-            names = [name.upper() for name in args[2:]] or list(carried)
+        if subcommand == b"DOCS":
+            names = [name.upper() for name in args[2:]] or list(supported)
             return self._reply(
                 state,
                 place,
                 {
                     name.lower().decode(): {"summary": "carried by banklift"}
                     for name in names
-                    if name in carried
+                    if name in supported
                 },
             )
-        if sub == b"INFO":
-            names = [name.upper() for name in args[2:]] or list(carried)
+        if subcommand == b"INFO":
+            names = [name.upper() for name in args[2:]] or list(supported)
             return self._reply(
-                state, place, [_command_info(carried[name]) if name in carried else None for name in names]
+                state,
+                place,
+                [_command_info(supported[name]) if name in supported else None for name in names],
             )
         self._reply(
             state, place, Error(f"ERR unknown subcommand '{args[1][:128].decode('utf-8', 'replace')}'")
         )
 
     def _info_text(self, sections: list[bytes]) -> str:
+        """The text of INFO, with the wanted sections or all."""
         wanted = {section.lower() for section in sections} or {b"default"}
         parts = {
             b"server": f"# Server\r\nredis_version:{REDIS_VERSION}\r\nredis_mode:standalone\r\n"
@@ -634,36 +713,41 @@
             b"clients": f"# Clients\r\nconnected_clients:{len(self.clients)}\r\n",
             b"replication": "# Replication\r\nrole:master\r\nconnected_slaves:0\r\n",
         }
-        every = wanted & {b"default", b"all", b"everything"}
-        return "\r\n".join(text for name, text in parts.items() if every or name in wanted)
+        wants_all = wanted & {b"default", b"all", b"everything"}
+        return "\r\n".join(text for name, text in parts.items() if wants_all or name in wanted)
 
     def _exec(self, state: Client, place: Place) -> None:
-        units, state.transaction = state.transaction, None
-        if units is None:
+        """EXEC: submits the queued commands as one request, of the strictest class among theirs."""
+        queued = state.transaction
+        state.transaction = None
+        if queued is None:
             return self._reply(state, place, Error("ERR EXEC without MULTI"))
         if state.transaction_failed:
             state.transaction_failed = False
             return self._reply(
                 state, place, Error("EXECABORT Transaction discarded because of previous errors.")
             )
-        if not units:
+        if not queued:
             return self._reply(state, place, [])
         request_class = strictest_class(
             [
                 self.routes.request_class(
-                    known.name.encode(), known.keys(args), known.kind is Kind.WRITE, state.user or "default"
+                    spec.name.encode(), spec.keys(args), spec.kind is Kind.WRITE, state.user or "default"
                 )
-                for known, args, _, _ in units
+                for spec, args, _, _ in queued
             ]
         )
         writes = request_class.need is Need.WRITE
-        data = tuple(command(*args) for _, args, _, _ in units)
-        self._submit(state, place, request_class, units[0][3], Transaction(state.proto, data, writes))
+        commands = tuple(command(*args) for _, args, _, _ in queued)
+        self._submit(state, place, request_class, queued[0][3], Transaction(state.proto, commands, writes))
 
     # ---- marks of sessions
 
     def _token_text(self, state: Client) -> str:
-        """Where the session's writes stand: `group=history:offset`, or `group=?` where that is not known."""
+        """The reply to BANKLIFT.TOKEN: the session's marks as text, joined by commas.
+
+        A mark is `group=history:offset`, or `group=?` if its history isn't known. Without marks the text is `-`.
+        """
         return (
             ",".join(
                 f"{self.group_names[group]}=" + (f"{seen.replid}:{seen.offset}" if seen.replid else "?")
@@ -674,68 +758,74 @@
         )
 
     def _restore_marks(self, state: Client, place: Place, token: bytes) -> None:
+        """BANKLIFT.SEEN: adds the marks of a token, which another router gave, to the session's."""
         marks: dict[int, Seen] = {}
         try:
             for part in token.decode().split(",") if token != b"-" else []:
-                name, _, mark = part.partition("=")
-                replid, _, offset = mark.partition(":")
+                name, _, position = part.partition("=")
+                replid, _, offset = position.partition(":")
                 group = self.group_names.index(name)
-                seen = Seen(self.core.now) if mark == "?" else Seen(self.core.now, replid, int(offset))
+                seen = Seen(self.core.now) if position == "?" else Seen(self.core.now, replid, int(offset))
                 self._merge_mark(marks, group, seen)
         except ValueError:
             return self._reply(state, place, Error("ERR not a token of BANKLIFT.TOKEN"))
         state.sent_token = True
-        for group, shown in marks.items():
-            met = [
-                self._tracks[group].meet(seen.replid, self.core.now) for seen in shown.parts() if seen.replid
+        for group, mark in marks.items():
+            unknown_histories = [
+                self._tracks[group].meet(seen.replid, self.core.now) for seen in mark.parts() if seen.replid
             ]
-            if any(met):
-                self.core.refresh(group)  # somebody leads a history that is news here
-        own = self._session_marks(state)
+            if any(unknown_histories):
+                # a primary that this router has not heard of may have begun a new history
+                self.core.refresh(group)
+        session_marks = self._session_marks(state)
         for group, seen in marks.items():
-            self._merge_mark(own, group, seen)
+            self._merge_mark(session_marks, group, seen)
         self._reply(state, place, OK)
 
     def _wait_for_replicas(self, state: Client, place: Place, args: list[bytes]) -> None:
-        """How many replicas have the session's writes: once that many do, or the time is over (0: no end)."""
+        """WAIT: replies with how many replicas have the session's writes.
+
+        The reply comes once the wanted number has them or the timeout is over. The timeout is in milliseconds; 0 means
+        none.
+        """
         try:
-            wanted, end = int(args[1]), int(args[2]) / 1000
+            wanted = int(args[1])
+            timeout = int(args[2]) / 1000
         except ValueError:
             return self._reply(state, place, Error("ERR value is not an integer or out of range"))
-        if end < 0:
+        if timeout < 0:
             return self._reply(state, place, Error("ERR timeout is negative"))
-        end = self.core.now + end if end else math.inf
+        deadline = self.core.now + timeout if timeout else math.inf
 
         def count_or_poll() -> object:
+            """The count that WAIT replies with, or `NOT_READY` after arranging another poll."""
             counts = []
             for group, seen in self._session_marks(state).items():
                 track = self._tracks[group]
                 counts.append(sum(name != track.owner and track.holds(name, seen) for name in track.places))
             count = min(counts, default=0)
-            if count >= wanted or self.core.now >= end or not counts:
+            if count >= wanted or self.core.now >= deadline or not counts:
                 return count
             for group in self._session_marks(state):
                 self.core.refresh(group)
-            self.core.at(min(end, self.core.now + WAIT_POLL_SECONDS), lambda: self._flush(state))
+            self.core.at(min(deadline, self.core.now + WAIT_POLL_SECONDS), lambda: self._flush(state))
             return NOT_READY
 
         place.deferred = count_or_poll
 
 
-def _command_info(known: Command) -> list[object]:
-    """A command in the form of `COMMAND INFO`."""
-    flags = [
-        Simple("write" if known.kind is Kind.WRITE else "readonly" if known.kind is Kind.READ else "fast")
-    ]
-    if known.key_count_index:
+def _command_info(spec: Command) -> list[object]:
+    """A command in the form in which COMMAND INFO describes it."""
+    flags = [Simple("write" if spec.kind is Kind.WRITE else "readonly" if spec.kind is Kind.READ else "fast")]
+    if spec.key_count_index:
         flags.append(Simple("movablekeys"))
     return [
-        known.name.lower(),
-        -known.min_args,
+        spec.name.lower(),
+        -spec.min_args,
         flags,
-        known.first_key,
-        known.last_key if known.first_key else 0,
-        known.key_step if known.first_key else 0,
+        spec.first_key,
+        spec.last_key if spec.first_key else 0,
+        spec.key_step if spec.first_key else 0,
         [],
         [],
         [],
