--- a/banklift/resp/frames.py
+++ b/banklift/resp/frames.py
@@ -1,13 +1,16 @@
-"""RESP frames on the wire: where a frame ends, and how commands are read and answers written.
+"""RESP framing: finding the ends of frames, reading commands, and writing replies.
 
-Theory of operation. A member's answers pass through byte for byte, so a reader here never builds values: a `Scanner`
-holds what has arrived and finds the end of each whole frame, whatever its type (RESP2 and RESP3, by the public
-specification). It goes on where it stopped, so a large answer that comes in many pieces is walked once. Open
-aggregates stand on a stack of counts: an element that ends counts its aggregate down, an aggregate that reaches nothing
-is itself an element that ended. An attribute is no element: it stands in front of one, and the two are one frame.
+Theory of operation. Answers of members pass through byte for byte, so reading them builds no values: a `Scanner`
+buffers what has arrived and finds the end of each whole frame of any RESP2 or RESP3 type, by the public specification.
+It goes on where it stopped, so a large answer that arrives in many pieces is walked once. A stack holds, for each open
+aggregate, how many elements are still to come: an element that ends counts its aggregate down, and an aggregate that
+reaches zero is itself an element that ended. An attribute is not an element: it precedes one, and the two are one
+frame.
 
 A `CommandReader` reads what clients send: arrays of bulk strings, or one inline line. A length beyond the limits is an
-error as soon as its header is seen, so nothing of an oversized frame is ever held.
+error as soon as its header is seen, so no part of an oversized frame's payload is kept.
+
+Loops over bytes compare with literal byte values, named in a comment, as a lookup of a name costs time there.
 """
 
 from __future__ import annotations
@@ -16,26 +19,37 @@
 
 import hiredis
 
-SIMPLE = frozenset(b"+-:_,#(")  # one line, nothing after it
-PLAIN = frozenset(b"+-:")
-BLOBS = frozenset(b"$=!")
-AGGREGATES = frozenset(b"*~>%|")
-MAX_LINE = 64 * 1024  # bytes of an inline command or of a header line
+# type bytes, the first byte of a frame or element
+SIMPLE_TYPES = frozenset(b"+-:_,#(")  # one line, nothing after it
+RESP2_LINE_TYPES = frozenset(b"+-:")  # the types of one line that RESP2 has
+BLOB_TYPES = frozenset(b"$=!")  # a length, then as many bytes
+AGGREGATE_TYPES = frozenset(b"*~>%|")  # a count, then as many elements (pairs for % and |)
+MAX_LINE_BYTES = 64 * 1024  # of an inline command or of a header line
 MAX_DEPTH = 512  # open aggregates of one frame
-MAX_ARGS = 1024 * 1024
-STREAM = -1  # count of an aggregate whose end is marked, not told
-CHUNKS = -2  # count of a string that comes in chunks
+MAX_ARGS = 1024 * 1024  # of one command, with its name
+# counts on the stack that stand for an unknown number of elements
+OPEN_AGGREGATE = -1  # an aggregate that ends with a mark
+OPEN_STRING = -2  # a string that comes in chunks
+# quoting in inline commands
+DOUBLE_QUOTE, SINGLE_QUOTE, BACKSLASH = ord('"'), ord("'"), ord("\\")
+ESCAPES = {
+    ord("n"): 10,
+    ord("r"): 13,
+    ord("t"): 9,
+    ord("b"): 8,
+    ord("a"): 7,
+}  # after a backslash in double quotes
 
 
 class ProtocolError(Exception):
-    """The other end broke the protocol; the text is what Redis says after `Protocol error: `."""
+    """The other end broke the protocol; the text is the one that Redis sends after `Protocol error: `."""
 
 
 class Scanner:
     """Splits a member's byte stream into whole frames.
 
-    `limit`: bytes that one frame may have at most. Errors: `ProtocolError` from `feed`, after which the stream can't
-    be read on.
+    `limit`: bytes that one frame may have at most. Errors: `ProtocolError` from `feed`, after which the stream can't be
+    read any further.
     """
 
     __slots__ = ("buffer", "limit", "pos", "stack")
@@ -43,20 +57,21 @@
     def __init__(self, limit: int) -> None:
         self.buffer = bytearray()
         self.limit = limit
-        self.pos = 0  # everything before it is walked
-        self.stack: list[int] = []  # elements still to come, of each open aggregate
+        self.pos = 0  # everything before it has been walked
+        self.stack: list[int] = []  # for each open aggregate, elements still to come or `OPEN_...`
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The frames that are whole now, in order."""
+        """The frames that are complete now, in order. Errors: `ProtocolError`."""
         frames: list[bytes] = []
-        if not self.buffer:  # most answers come whole and are plain: no copy, no state
+        # most answers arrive whole and have a plain type: they need no copy and no state
+        if not self.buffer:
             pos, size = 0, len(data)
             while pos < size:
                 end = data.find(b"\r\n", pos)
                 if end < 0:
                     break
                 kind = data[pos]
-                if kind == 36 and data[pos + 1] != 63:
+                if kind == 36 and data[pos + 1] != 63:  # "$", but not "$?"
                     try:
                         length = int(data[pos + 1 : end])
                     except ValueError:
@@ -64,7 +79,7 @@
                     end += length + 2 if length >= 0 else 0
                     if length > self.limit or end + 2 > size or data[end : end + 2] != b"\r\n":
                         break
-                elif kind not in PLAIN:
+                elif kind not in RESP2_LINE_TYPES:
                     break
                 end += 2
                 frames.append(data if not pos and end == size else data[pos:end])
@@ -82,22 +97,22 @@
         return frames
 
     def _advance(self) -> bool:
-        """Walk on; true once a whole frame lies before `pos`."""
+        """Walks on; true once a whole frame lies before `pos`. Errors: `ProtocolError`."""
         buffer, stack = self.buffer, self.stack
         while True:
             end = buffer.find(b"\r\n", self.pos)
             if end < 0:
-                if len(buffer) - self.pos > MAX_LINE and buffer[self.pos] not in SIMPLE:
+                if len(buffer) - self.pos > MAX_LINE_BYTES and buffer[self.pos] not in SIMPLE_TYPES:
                     raise ProtocolError("too big header")
                 return False
             kind, after = buffer[self.pos], end + 2
-            if kind in SIMPLE:
+            if kind in SIMPLE_TYPES:
                 self.pos = after
                 if self._ended():
                     return True
-            elif kind in BLOBS:
-                if kind == 36 and buffer[self.pos + 1 : end] == b"?":
-                    self._open(CHUNKS)
+            elif kind in BLOB_TYPES:
+                if kind == 36 and buffer[self.pos + 1 : end] == b"?":  # "$?" begins a streamed string
+                    self._open(OPEN_STRING)
                     self.pos = after
                     continue
                 size = self._count(end)
@@ -112,27 +127,27 @@
                 self.pos = after
                 if self._ended():
                     return True
-            elif kind in AGGREGATES:
+            elif kind in AGGREGATE_TYPES:
                 if buffer[self.pos + 1 : end] == b"?":
-                    self._open(STREAM)
+                    self._open(OPEN_AGGREGATE)
                     self.pos = after
                     continue
                 count = self._count(end)
                 if kind in b"%|":
                     count *= 2
                 self.pos = after
-                if kind == 124:  # an attribute: its pairs, then the element it speaks of
+                if kind == 124:  # "|", an attribute: its pairs, then the element that it describes
                     self._open(count + 1)
                 elif count > 0:
                     self._open(count)
                 elif self._ended():
                     return True
-            elif kind == 46 and stack and stack[-1] == STREAM:  # "." ends a streamed aggregate
+            elif kind == 46 and stack and stack[-1] == OPEN_AGGREGATE:  # "." ends a streamed aggregate
                 self.pos = after
                 stack.pop()
                 if self._ended():
                     return True
-            elif kind == 59 and stack and stack[-1] == CHUNKS:  # ";" is a chunk of a streamed string
+            elif kind == 59 and stack and stack[-1] == OPEN_STRING:  # ";" begins a chunk of a streamed string
                 size = self._count(end)
                 after += size + 2 if size else 0
                 if len(buffer) < after:
@@ -146,12 +161,13 @@
                 raise ProtocolError(f"unknown type byte {bytes(buffer[self.pos : self.pos + 1])!r}")
 
     def _open(self, count: int) -> None:
+        """Opens an aggregate. `count`: its elements, or `OPEN_...`. Errors: `ProtocolError` beyond `MAX_DEPTH`."""
         if len(self.stack) >= MAX_DEPTH:
             raise ProtocolError("frame nested too deeply")
         self.stack.append(count)
 
     def _ended(self) -> bool:
-        """An element ended; true if the whole frame did."""
+        """An element ended; true if the frame ended with it."""
         stack = self.stack
         while stack:
             if stack[-1] < 0:
@@ -163,6 +179,7 @@
         return True
 
     def _count(self, end: int) -> int:
+        """The number in the header that ends at `end`; -1 is null. Errors: `ProtocolError`."""
         try:
             count = int(self.buffer[self.pos + 1 : end])
         except ValueError:
@@ -175,25 +192,26 @@
 class CommandReader:
     """Reads the commands of a client: lists of byte strings.
 
-    `limit`: bytes that one command may have. Errors: `ProtocolError` from `next`; commands before it were returned.
-    A command that is not whole yet is read on where it stopped.
+    `limit`: bytes that one command may have. Errors: `ProtocolError` from `next`, which has returned the commands
+    before the fault. An incomplete command is read on where it stopped.
     """
 
-    __slots__ = ("_args", "_size", "_start", "_want", "buffer", "limit", "pos", "raw")
+    __slots__ = ("_args", "_remaining_args", "_size", "_start", "buffer", "limit", "pos", "raw")
 
     def __init__(self, limit: int) -> None:
         self.buffer = b""
         self.limit = limit
-        self.pos = 0
-        self.raw: bytes | None = None  # the last command as it came; None if it was an inline one
-        self._args: list[bytes] | None = None  # of the command being read
-        self._want = 0
-        self._size = 0
-        self._start = 0
+        self.pos = 0  # everything before it has been read
+        self.raw: bytes | None = None  # the last command as it arrived; None if it was an inline one
+        self._args: list[bytes] | None = None  # arguments read of a command that is incomplete; None: none is
+        self._remaining_args = 0  # arguments still to come of that command
+        self._size = 0  # bytes of its arguments so far
+        self._start = 0  # where it begins in the buffer
 
     def feed(self, data: bytes) -> None:
+        """Adds bytes of the client."""
         if self.pos < len(self.buffer):
-            # what is read already is dropped, but for the command that is being read
+            # drops what was read already, except for the command that is being read
             self.buffer = self.buffer[self._start :] + data
             self.pos -= self._start
         else:
@@ -202,13 +220,13 @@
         self._start = 0
 
     def next(self) -> list[bytes] | None:
-        """The next whole command, None if more bytes are needed."""
+        """The next complete command; None if more bytes are needed. Errors: `ProtocolError`."""
         while True:
             buffer, pos = self.buffer, self.pos
             if self._args is None:
                 self._start = pos
                 end = buffer.find(b"\n", pos)
-                if (len(buffer) if end < 0 else end) - pos > MAX_LINE:
+                if (len(buffer) if end < 0 else end) - pos > MAX_LINE_BYTES:
                     raise ProtocolError(
                         "too big mbulk count string"
                         if buffer[pos : pos + 1] == b"*"
@@ -217,24 +235,26 @@
                 if end < 0:
                     return None
                 self.pos = end + 1
-                if buffer[pos] != 42:
+                if buffer[pos] != 42:  # no "*": an inline command
                     if words := split_inline(buffer[pos:end].removesuffix(b"\r")):
                         self.raw = None
                         return words
                     continue
-                self._want = number(buffer[pos + 1 : end], "invalid multibulk length", MAX_ARGS)
+                self._remaining_args = parse_length(
+                    buffer[pos + 1 : end], "invalid multibulk length", MAX_ARGS
+                )
                 self._args, self._size = [], 0
                 pos = end + 1
             args = self._args
-            while self._want > 0:
+            while self._remaining_args > 0:
                 end = buffer.find(b"\r\n", pos)
-                if (len(buffer) if end < 0 else end) - pos > MAX_LINE:
+                if (len(buffer) if end < 0 else end) - pos > MAX_LINE_BYTES:
                     raise ProtocolError("too big bulk count string")
                 if end < 0:
                     return None
-                if buffer[pos] != 36:
+                if buffer[pos] != 36:  # no "$"
                     raise ProtocolError(f"expected '$', got '{chr(buffer[pos])}'")
-                size = number(buffer[pos + 1 : end], "invalid bulk length", self.limit)
+                size = parse_length(buffer[pos + 1 : end], "invalid bulk length", self.limit)
                 self._size += size
                 if size < 0 or self._size > self.limit:
                     raise ProtocolError("invalid bulk length")
@@ -244,15 +264,15 @@
                     return None
                 args.append(buffer[begin : begin + size])
                 self.pos = pos = begin + size + 2
-                self._want -= 1
+                self._remaining_args -= 1
             self._args = None
             if args:
                 self.raw = buffer[self._start : pos]
                 return args
 
 
-def number(digits: bytes, error: str, limit: int) -> int:
-    """A length in a header. Errors: `ProtocolError` with `error` unless it is one, and at most `limit`."""
+def parse_length(digits: bytes, error: str, limit: int) -> int:
+    """The length in a header. Errors: `ProtocolError` with the text `error` if it is no number or above `limit`."""
     try:
         value = int(digits)
     except ValueError:
@@ -263,16 +283,16 @@
 
 
 def split_inline(line: bytes) -> list[bytes]:
-    """The words of an inline command, with the quotes that redis-cli and telnet users know.
+    """The words of an inline command, with quotes and escapes as redis-cli has them.
 
-    Errors: `ProtocolError` if a quote stays open.
+    Errors: `ProtocolError` if quotes are unbalanced.
     """
     if b'"' not in line and b"'" not in line:
         return line.split()
     words: list[bytes] = []
     word: bytearray | None = None
-    quote, pos = 0, 0
-    escapes = {110: 10, 114: 13, 116: 9, 98: 8, 97: 7}
+    quote = 0  # the quote that is open; 0: none
+    pos = 0
     while pos < len(line):
         byte = line[pos]
         if quote:
@@ -281,15 +301,19 @@
                 quote = 0
                 if pos + 1 < len(line) and not line[pos + 1 : pos + 2].isspace():
                     raise ProtocolError("unbalanced quotes in request")
-            elif byte == 92 and quote == 34 and line[pos + 1 : pos + 2] == b"x":
+            elif byte == BACKSLASH and quote == DOUBLE_QUOTE and line[pos + 1 : pos + 2] == b"x":
                 try:
                     word.append(int(line[pos + 2 : pos + 4], 16))
                 except ValueError:
                     raise ProtocolError("unbalanced quotes in request") from None
                 pos += 3
-            elif byte == 92 and pos + 1 < len(line) and (quote == 34 or line[pos + 1] == 39):
+            elif (
+                byte == BACKSLASH
+                and pos + 1 < len(line)
+                and (quote == DOUBLE_QUOTE or line[pos + 1] == SINGLE_QUOTE)
+            ):
                 pos += 1
-                word.append(escapes.get(line[pos], line[pos]) if quote == 34 else line[pos])
+                word.append(ESCAPES.get(line[pos], line[pos]) if quote == DOUBLE_QUOTE else line[pos])
             else:
                 word.append(byte)
         elif line[pos : pos + 1].isspace():
@@ -298,7 +322,7 @@
             word = None
         else:
             word = bytearray() if word is None else word
-            if byte in (34, 39):
+            if byte in (DOUBLE_QUOTE, SINGLE_QUOTE):
                 quote = byte
             else:
                 word.append(byte)
@@ -311,7 +335,7 @@
 
 
 def command(*args: bytes | str | int) -> bytes:
-    """A command as clients send it: an array of bulk strings."""
+    """Encodes a command as clients send it: an array of bulk strings."""
     parts = [b"*%d\r\n" % len(args)]
     for arg in args:
         data = arg if isinstance(arg, bytes) else str(arg).encode()
@@ -320,15 +344,18 @@
 
 
 class Simple(str):
-    """A status line, such as OK."""
+    """A simple string reply, such as OK."""
 
 
 class Error(str):
-    """An error: a code in capitals, then a text."""
+    """An error reply: a code in capitals, then a text."""
 
 
 def encode(value: Any, proto: int = 2) -> bytes:
-    """An answer that the router gives itself. Dicts are maps in RESP3 and flat arrays in RESP2; None is null."""
+    """Encodes a reply of the router itself. Dicts become maps in RESP3 and flat arrays in RESP2; None is null.
+
+    `proto`: version of RESP, 2 or 3.
+    """
     if value is None:
         return b"_\r\n" if proto == 3 else b"$-1\r\n"
     if isinstance(value, bool):
@@ -351,7 +378,7 @@
 
 
 def decode(frame: bytes) -> Any:
-    """The value of one whole frame; an error frame becomes `hiredis.ReplyError`.
+    """The value of one complete frame; an error frame becomes `hiredis.ReplyError`.
 
     Errors: `ProtocolError` if hiredis can't read it.
     """
--- a/banklift/resp/proofs.py
+++ b/banklift/resp/proofs.py
@@ -1,17 +1,19 @@
-"""What members that speak RESP tell of themselves: `Proofs` of proxy/wire.py.
-
-Theory of operation. Members tell offsets, and only when asked. So each attempt asks the member for its standing on the
-same link: a read before its command, so what is read is at least as new as what is proven; a write after it, so the
-mark it leaves holds the write. Only a read that any member may serve needs no proof. The first exchange of a link asks
-for the history too: a restart of the member ends its links, so nothing outlives the data it spoke of. A read whose own
-proof fails its floor is not passed on; the module hears of a miss.
-
-What an answer of a write, a session's or a fresh read shows leaves a mark with its session (`Served.seen`), and the
-session's reads hold all its marks: they see its writes and never go back behind its reads. Such a read asks for the
-member's standing behind its command too, as it may show what was written while it waited.
-
-A probe of a replica also asks the primary, as a sample: positions come from samples (decide/offsets.py). The report
-waits up to `SAMPLE_WAIT` for it.
+"""What RESP members report about themselves, and what that proves about their answers: `Proofs` of proxy/wire.py.
+
+Theory of operation:
+
+- A member reports its replication offset only when asked. So an attempt asks the member for its replication status on
+  the same link: a read before its command, so that the data read is at least as new as the status; a write after its
+  command, so that the mark it leaves includes the write. A read of need `any` needs no proof and asks nothing.
+- The first exchange of a link asks for the replication history too. A restart of the member ends its links, so nothing
+  known about the member outlives the data it was reported for.
+- A read whose own proof doesn't reach the floor that it needs is not passed on to the client; the balancer is told of a
+  miss.
+- The status that comes with a write, a session read or a fresh read leaves a mark with the session (`Served.seen`). The
+  reads of the session must cover all its marks: they see the session's writes and never go back behind its reads. Such
+  a read asks for the member's status after its command too, as the command may show what was written while it waited.
+- A probe of a replica also probes the primary, to take a sample: samples of the primary turn the offsets of replicas
+  into positions (decide/offsets.py). The replica's report waits up to `SAMPLE_WAIT_SECONDS` for that sample.
 """
 
 from __future__ import annotations
@@ -23,57 +25,77 @@
 from banklift.interface import Need, State, Status
 from banklift.proxy.machine import Attempt, Machine, Node
 from banklift.proxy.wire import Ask, Judged, Question, Result, Served, Told
-from banklift.resp.replies import standing
+from banklift.resp.replies import parse_replication_status
 
-SAMPLE_WAIT = 0.02  # seconds that a replica's report waits for the primary's sample
-MARKED = (Need.SESSION, Need.FRESH)  # reads: what a session has seen of these it never unsees
+SAMPLE_WAIT_SECONDS = 0.02  # a replica's report waits as long as this for a sample of the primary
+# the balancer adds as much to the floor of a session read, so ages handed to it have it added to cancel that out
+FLOOR_MARGIN_SECONDS = 0.001
+MARKING_READS = (Need.SESSION, Need.FRESH)  # reads that leave a mark: later reads of the session are no older
 
 
 @dataclass(slots=True)
-class Lore:
-    doubt: bool = True  # its history is to be asked
-    unanswered: float | None = None  # since when a write of ours has had no answer
+class MemberKnowledge:
+    """What the router knows of one member between its answers."""
+
+    doubt: bool = True  # its replication history is not known and has to be asked for
+    # when the oldest write without an answer was sent, in seconds of the router's clock
+    unanswered_since: float | None = None
 
 
 class RespProofs:
+    """Keeps a `Track` of each group's replication history and judges answers by it.
+
+    `core`: the router's machine. `groups`: how many groups there are. Times are seconds on the router's clock.
+    """
+
     def __init__(self, core: Machine, groups: int) -> None:
         self.core = core
         self.tracks = [Track() for _ in range(groups)]
-        self.delayed: dict[
-            int, list[tuple[Node, float, float]]
-        ] = {}  # reports that wait for a sample, by group
-
-    def lore(self) -> Lore:
-        return Lore()
-
-    def since_write(self, ask: Ask, now: float) -> float | None:
-        if ask.kind.need is Need.SESSION:
-            if ask.current:
-                return 0.001
-            if ask.seen is not None:
-                return now + 0.001 - self.tracks[ask.group].floor(ask.seen, now)
+        # reports that wait for a sample, by group: member, time asked and load
+        self.delayed_reports: dict[int, list[tuple[Node, float, float]]] = {}
+
+    def lore(self) -> MemberKnowledge:
+        """The knowledge of a member that has not answered yet."""
+        return MemberKnowledge()
+
+    def since_write(self, request: Ask, now: float) -> float | None:
+        """Seconds since the newest commit that a session read must see; None if it needs none or is of another class.
+
+        A read of a session that may have written elsewhere must see every commit before its arrival.
+        """
+        if request.kind.need is Need.SESSION:
+            if request.current:
+                return FLOOR_MARGIN_SECONDS
+            if request.seen is not None:
+                return now + FLOOR_MARGIN_SECONDS - self.tracks[request.group].floor(request.seen, now)
         return None
 
     def question(self, attempt: Attempt, fresh: bool) -> Question:
-        need, lore = attempt.open.ask.kind.need, attempt.node.lore
-        if need is Need.WRITE and lore.unanswered is None:
-            lore.unanswered = self.core.now
+        """What to ask the member together with this attempt. `fresh`: the attempt is the first on its link."""
+        need = attempt.open.ask.kind.need
+        lore = attempt.node.lore
+        if need is Need.WRITE and lore.unanswered_since is None:
+            lore.unanswered_since = self.core.now
         if fresh or lore.doubt:
-            return Question.HISTORY_BOTH if need in MARKED else Question.HISTORY
-        if need is Need.ANY:  # which asks for no proof
+            return Question.HISTORY_BOTH if need in MARKING_READS else Question.HISTORY
+        if need is Need.ANY:  # needs no proof
             return Question.NONE
-        return Question.BOTH if need in MARKED else Question.STANDING
+        return Question.BOTH if need in MARKING_READS else Question.STANDING
 
     def judge(self, attempt: Attempt, result: Result) -> Judged:
-        ask, node, now = attempt.open.ask, attempt.node, self.core.now
-        status, fact = result.status, Fact()
-        writes = ask.kind.need is Need.WRITE
+        """What a complete answer means for the attempt, the balancer and the client."""
+        request = attempt.open.ask
+        node = attempt.node
+        now = self.core.now
+        status = result.status
+        fact = Fact()
+        writes = request.kind.need is Need.WRITE
         if writes:
-            node.lore.unanswered = None
+            node.lore.unanswered_since = None
         if result.standing is not None:
             fact = self.learn(node, result.standing, attempt.asked, None)
         if status is Status.MISS and writes and fact.primary is None:
-            fact = Fact(primary=False)  # READONLY says so itself
+            fact = Fact(primary=False)  # -READONLY tells that it is no primary
         served = None
         if status is Status.OK:
             if not writes and not self.proves(attempt, fact):
@@ -82,7 +104,8 @@
                 seen = None
                 if writes:
                     seen = self.tracks[node.group].seen(node.name, fact.offset, now)
-                elif ask.kind.need in MARKED:  # it showed nothing newer than what stands behind it
+                elif request.kind.need in MARKING_READS:
+                    # what the read showed is no newer than the status after it
                     after = result.after and self.learn(node, result.after, attempt.asked, None)
                     seen = self.tracks[node.group].seen(node.name, after.offset if after else None, now)
                 served = Served(result.answer, seen)
@@ -92,62 +115,69 @@
         )
 
     def cut(self, attempt: Attempt, result: Result) -> Served:
+        """The answer of a link that broke before the status came: its mark has a time and no offset."""
         return Served(result.answer, Seen(self.core.now))
 
     def proves(self, attempt: Attempt, fact: Fact) -> bool:
-        """Whether what the member proved on the same link allows this read."""
-        ask, open_ = attempt.open.ask, attempt.open
-        match ask.kind.need:
+        """Whether the status that the member reported on the same link allows passing this read on."""
+        request = attempt.open.ask
+        match request.kind.need:
             case Need.ANY:
                 return True
             case Need.BOUNDED:
-                floor = attempt.asked - ask.kind.bound
-            case Need.SESSION if not ask.current:
-                return ask.seen is None or self.tracks[ask.group].covers(fact, ask.seen)
+                floor = attempt.asked - request.kind.bound
+            case Need.SESSION if not request.current:
+                return request.seen is None or self.tracks[request.group].covers(fact, request.seen)
             case _:
-                floor = open_.arrived
+                floor = attempt.open.arrived
         return fact.position is not None and fact.position >= floor
 
-    def learn(self, node: Node, told: Standing, asked: float, waiting: float | None) -> Fact:
-        """Take in what a member says of its place in the log. `waiting`: see `Track.learn`."""
-        fact = self.tracks[node.group].learn(node.name, told, asked, self.core.now, waiting)
+    def learn(self, node: Node, reported: Standing, asked: float, waiting: float | None) -> Fact:
+        """Takes in a member's replication status, asked for at `asked`, and acts on what it implies.
+
+        `waiting`: when the oldest write was sent that the member has not answered (see `Track.learn`).
+        """
+        fact = self.tracks[node.group].learn(node.name, reported, asked, self.core.now, waiting)
         if fact.unsure:
             node.lore.doubt = True
-            if (
-                node.state is State.READY and not node.probes
-            ):  # it has another role than before: ask for its history
+            # its role may have changed, so ask for its history
+            if node.state is State.READY and not node.probes:
                 self.probing(node)
                 self.core.probe(node)
-        elif told.replid is not None:
+        elif reported.replid is not None:
             node.lore.doubt = False
         if fact.reborn:
             self.core.reborn(node)
         return fact
 
     def early(self, attempt: Attempt) -> None:
-        """A member said where it stands, and its answer may take a while: a change of role is told at once."""
-        node, told = attempt.node, standing(attempt.frames[0])
-        if told is None or attempt.open.ask.kind.need is Need.WRITE:
+        """Reports a change of role as soon as the status ahead of a read tells it, as the answer may take longer."""
+        node = attempt.node
+        reported = parse_replication_status(attempt.frames[0])
+        if reported is None or attempt.open.ask.kind.need is Need.WRITE:
             return
-        was = self.tracks[node.group].owner == node.name
-        fact = self.learn(node, told, attempt.asked, None)
-        if fact.primary is not None and fact.primary != was:
-            self._report(node, attempt.asked, fact.primary, fact.position, told.load)
+        was_primary = self.tracks[node.group].owner == node.name
+        fact = self.learn(node, reported, attempt.asked, None)
+        if fact.primary is not None and fact.primary != was_primary:
+            self._report(node, attempt.asked, fact.primary, fact.position, reported.load)
 
     # ---- probes
 
     def probing(self, node: Node) -> None:
-        """The primary is asked too, so that a replica's offset says something."""
-        owner = self._owner(node)
-        if owner is not None and owner is not node and not owner.probes:
-            self.core.probe(owner)
+        """A member is about to be probed: probes its primary too, whose sample turns offsets into positions."""
+        primary = self._primary_of(node)
+        if primary is not None and primary is not node and not primary.probes:
+            self.core.probe(primary)
 
     def probed(self, node: Node, asked: float, frame: bytes) -> None:
-        core, told = self.core, standing(frame)
-        if told is None:  # it speaks, but doesn't say what it is: loading, or no permission
+        """A member has answered a probe: reports it now, or once the sample of the primary has come."""
+        core = self.core
+        reported = parse_replication_status(frame)
+        # an answer without a status: the member is loading, or the router has no permission to ask
+        if reported is None:
             core.probe_failed(node, asked)
             return
-        waiting = node.lore.unanswered
+        waiting = node.lore.unanswered_since
         if waiting is None:
             waiting = min(
                 (
@@ -157,29 +187,32 @@
                 ),
                 default=None,
             )
-        fact = self.learn(node, told, asked, waiting)
-        owner = self._owner(node)
-        if fact.primary is not True and owner is not None and owner.probes and owner.probes[0] <= asked:
-            self.delayed.setdefault(node.group, []).append((node, asked, told.load or 0.0))
-            core.at(core.now + SAMPLE_WAIT, lambda: self._release(node.group))
+        fact = self.learn(node, reported, asked, waiting)
+        primary = self._primary_of(node)
+        if fact.primary is not True and primary is not None and primary.probes and primary.probes[0] <= asked:
+            self.delayed_reports.setdefault(node.group, []).append((node, asked, reported.load or 0.0))
+            core.at(core.now + SAMPLE_WAIT_SECONDS, lambda: self._send_delayed_reports(node.group))
             return
-        self._report(node, asked, fact.primary, fact.position, told.load)
+        self._report(node, asked, fact.primary, fact.position, reported.load)
         if fact.primary:
-            self._release(node.group)
+            self._send_delayed_reports(node.group)
 
     def probes_failed(self, node: Node) -> None:
-        self._release(node.group)
+        """The member did not answer its probes: reports that wait for its sample go out without it."""
+        self._send_delayed_reports(node.group)
 
     def forget(self, node: Node) -> None:
+        """The member is no longer listed."""
         self.tracks[node.group].forget(node.name)
 
-    def _owner(self, node: Node) -> Node | None:
-        owner = self.tracks[node.group].owner
-        return self.core.nodes.get(owner) if owner is not None else None
+    def _primary_of(self, node: Node) -> Node | None:
+        """The member that leads the group of this one, if it is known."""
+        name = self.tracks[node.group].owner
+        return self.core.nodes.get(name) if name is not None else None
 
-    def _release(self, group: int) -> None:
-        """The sample is here, or isn't coming: tell what waited for it."""
-        for node, asked, load in self.delayed.pop(group, ()):
+    def _send_delayed_reports(self, group: int) -> None:
+        """Sends the delayed reports of a group, as the sample has come or won't come."""
+        for node, asked, load in self.delayed_reports.pop(group, ()):
             position, _ = self.tracks[group].place(node.name)
             self._report(node, asked, False, position, load)
 
--- a/banklift/resp/replies.py
+++ b/banklift/resp/replies.py
@@ -1,16 +1,16 @@
-"""How a member's answer reads as the outcome of an attempt, and what `ROLE` and `INFO replication` say.
+"""What an answer of a member means for its attempt, and how the answers to `ROLE` and `INFO replication` are read.
 
-| answer | means |
-| --- | --- |
-| `-READONLY`, `-MISCONF`, `-NOREPLICAS`, `-CLUSTERDOWN`, `-MOVED`, `-ASK`, `-TRYAGAIN` | turned away, nothing ran |
-| `-LOADING`, `-MASTERDOWN`, `-BUSY`, `-OOM`, `-ERR max number of clients reached` | full: turned away unseen |
-| `-NOAUTH`, `-NOPERM`, `-WRONGPASS` where the link's own login failed | no connection |
-| `-UNKILLABLE`, `-EXECABORT` and every other error | an honest answer of the application: passed on |
+- Miss (the member rejects the command, nothing ran): `-READONLY`, `-MISCONF`, `-NOREPLICAS`, `-CLUSTERDOWN`, `-MOVED`,
+  `-ASK`, `-TRYAGAIN`.
+- Full (the member rejects commands before it looks at them): `-LOADING`, `-MASTERDOWN`, `-BUSY`, `-OOM`,
+  `-ERR max number of clients reached`.
+- No connection: `-NOAUTH`, `-NOPERM`, `-WRONGPASS`, where the link's own login failed.
+- An answer of the application, passed on to the client: `-UNKILLABLE`, `-EXECABORT` and every other error.
 
-`-NOREPLICAS` and `-MISCONF` come before a command runs (too few replicas, disk trouble), so nothing ran. `-BUSY` comes
-while a script runs and before the command is looked at. Every row holds for real Redis: its dispatcher gives these
-answers before it calls the command. An error out of the middle of a script carries the same codes and names the script:
-what came before it has run, so it is an answer.
+`-NOREPLICAS` (too few replicas) and `-MISCONF` (disk trouble) come before a command runs, so nothing ran. `-BUSY` comes
+while a script runs, before the command is looked at. All of this holds for real Redis, whose dispatcher gives these
+answers before it calls the command. An error raised in the middle of a script carries the same codes and names the
+script. What the script did before has run, so such an error counts as an answer.
 """
 
 from __future__ import annotations
@@ -19,24 +19,29 @@
 from banklift.interface import Status
 from banklift.resp.frames import ProtocolError, decode
 
-MISSES = (b"-READONLY", b"-MISCONF", b"-NOREPLICAS", b"-CLUSTERDOWN", b"-MOVED", b"-ASK", b"-TRYAGAIN")
-FULLS = (b"-LOADING", b"-MASTERDOWN", b"-BUSY ", b"-OOM", b"-ERR max number of clients")
+# prefixes of errors that mean a miss
+MISS_ERRORS = (b"-READONLY", b"-MISCONF", b"-NOREPLICAS", b"-CLUSTERDOWN", b"-MOVED", b"-ASK", b"-TRYAGAIN")
+# prefixes of errors that mean a full member
+FULL_ERRORS = (b"-LOADING", b"-MASTERDOWN", b"-BUSY ", b"-OOM", b"-ERR max number of clients")
 
 
 def status(frame: bytes) -> Status:
-    """What an answer means for its attempt."""
+    """The outcome of an attempt that got this answer."""
     if frame[:1] != b"-" or b" script: " in frame:
         return Status.OK
-    if frame.startswith(MISSES):
+    if frame.startswith(MISS_ERRORS):
         return Status.MISS
-    if frame.startswith(FULLS):
+    if frame.startswith(FULL_ERRORS):
         return Status.FULL
     return Status.OK
 
 
-def standing_of_role(frame: bytes) -> Standing | None:
-    """Reads an answer to `ROLE`; None if it is none (an error, or not by the specification)."""
-    if frame.startswith(b"*3\r\n$6\r\nmaster\r\n:"):  # by far the most frequent, without building values
+def replication_status_from_role(frame: bytes) -> Standing | None:
+    """Reads the answer to `ROLE`; None if it doesn't have that form.
+
+    Errors: `ProtocolError`; `ValueError` if the offset of a primary is no number.
+    """
+    if frame.startswith(b"*3\r\n$6\r\nmaster\r\n:"):  # the most frequent answer, read without building values
         end = frame.find(b"\r\n", 17)
         return Standing(True, int(frame[17:end]))
     value = decode(frame)
@@ -50,36 +55,41 @@
     return None
 
 
-def standing_of_info(frame: bytes) -> Standing | None:
-    """Reads an answer to `INFO replication`; None if it is none."""
+def replication_status_from_info(frame: bytes) -> Standing | None:
+    """Reads the answer to `INFO replication`; None if it doesn't have that form.
+
+    Errors: `ProtocolError`; `ValueError` if its text is not UTF-8.
+    """
     value = decode(frame)
     if not isinstance(value, bytes | str):
         return None
     text = value.decode() if isinstance(value, bytes) else value
-    facts = dict(line.split(":", 1) for line in text.splitlines() if ":" in line)
+    fields = dict(line.split(":", 1) for line in text.splitlines() if ":" in line)
     try:
-        primary = facts["role"] == "master"
-        offset = int(facts["master_repl_offset"] if primary else facts["slave_repl_offset"])
-        load = facts.get("commands_in_flight")
+        primary = fields["role"] == "master"
+        offset = int(fields["master_repl_offset"] if primary else fields["slave_repl_offset"])
+        load = fields.get("commands_in_flight")
         return Standing(
             primary,
             offset,
-            "" if primary else f"{facts['master_host']}:{facts['master_port']}",
-            primary or facts.get("master_link_status") == "up",
-            facts.get("master_replid"),
-            facts.get("master_replid2"),
-            int(facts.get("second_repl_offset", -1)),
+            "" if primary else f"{fields['master_host']}:{fields['master_port']}",
+            primary or fields.get("master_link_status") == "up",
+            fields.get("master_replid"),
+            fields.get("master_replid2"),
+            int(fields.get("second_repl_offset", -1)),
             None if load is None else float(load),
         )
     except (KeyError, ValueError):
         return None
 
 
-def standing(frame: bytes) -> Standing | None:
-    """Of an answer to `ROLE` or `INFO replication`; None if it says nothing: an error, or not by the specification."""
+def parse_replication_status(frame: bytes) -> Standing | None:
+    """Reads the answer to `ROLE` or `INFO replication`; None if it is an error or not as specified."""
     try:
         if frame[:1] == b"-":
             return None
-        return standing_of_role(frame) if frame[:1] == b"*" else standing_of_info(frame)
+        return (
+            replication_status_from_role(frame) if frame[:1] == b"*" else replication_status_from_info(frame)
+        )
     except (ProtocolError, ValueError):
         return None
--- a/banklift/resp/wire.py
+++ b/banklift/resp/wire.py
@@ -1,8 +1,15 @@
-"""RESP towards members: `Wire` and `Exchange` of proxy/wire.py.
+"""RESP on links to members: `Wire` and `Exchange` of proxy/wire.py.
 
-A read is sent as `ROLE` and the command, a write as the command and `ROLE`, in one piece; a read that leaves a mark has
-a `ROLE` behind it too. On a link's first exchange `INFO replication` stands in for the first `ROLE`, as it tells the
-history as well.
+A member reports its replication status only when asked, so status commands travel with a request, in one write:
+
+| request | sent |
+| --- | --- |
+| read | `ROLE`, then the command |
+| read that leaves a session mark | `ROLE`, the command, `ROLE` |
+| write | the command, then `ROLE` |
+| read of need `any` on a link that was used before | the command alone |
+
+On a link's first exchange `INFO replication` replaces the first `ROLE`, as it also names the replication history.
 """
 
 from __future__ import annotations
@@ -16,22 +23,27 @@
 from banklift.proxy.wire import BrokenFrame, Question, Result
 from banklift.resp.frames import ProtocolError, Scanner, command
 from banklift.resp.proofs import RespProofs
-from banklift.resp.replies import standing, status
+from banklift.resp.replies import parse_replication_status, status
 
 ROLE = command("ROLE")
 INFO = command("INFO", "replication")
 MULTI = command("MULTI")
 EXEC = command("EXEC")
-DEMOTED = b"is now a read-only replica"  # of an EXEC whose commands were queued when the member was a primary
+# in the error of an EXEC whose commands were queued while the member was still a primary
+DEMOTED_ERROR = b"is now a read-only replica"
 
 
 class FrameReader:
-    """A `Scanner` whose error is the core's."""
+    """Splits a member's bytes into frames, as `Scanner` does, with the core's error type.
+
+    `limit`: bytes of one frame.
+    """
 
     def __init__(self, limit: int) -> None:
         self._scanner = Scanner(limit)
 
     def feed(self, data: bytes) -> list[bytes]:
+        """The frames that are complete now. Errors: `BrokenFrame`."""
         try:
             return self._scanner.feed(data)
         except ProtocolError as error:
@@ -39,12 +51,17 @@
 
     @property
     def clean(self) -> bool:
-        return not self._scanner.buffer or self._scanner.buffer[:1] == b">"  # a push may come at any time
+        """Whether no part of an answer is buffered. A part of a push frame doesn't count: pushes come at any time."""
+        return not self._scanner.buffer or self._scanner.buffer[:1] == b">"
 
 
 @dataclass(frozen=True, slots=True)
 class RespWire:
-    """`limit`: bytes of one answer; `name`, `user` and `password`: what links tell members."""
+    """RESP as links to members speak it; the flavour of a link is its RESP version, 2 or 3.
+
+    `limit`: bytes of one answer. `name`: the router's name. `user` and `password`: what links log in with; without a
+    password they don't log in.
+    """
 
     limit: int
     name: str
@@ -52,9 +69,11 @@
     password: str | None = None
 
     def reader(self) -> FrameReader:
+        """A reader for the answers of one link."""
         return FrameReader(self.limit)
 
     def greeting(self, flavour: int) -> tuple[bytes, int]:
+        """What a new link sends first (HELLO for RESP3, AUTH if there is a password), and how many frames answer it."""
         if flavour == 3:
             auth = ("AUTH", self.user or "default", self.password) if self.password is not None else ()
             return command("HELLO", 3, *auth), 1
@@ -64,78 +83,98 @@
         return b"", 0
 
     def greeted(self, frame: bytes) -> bool:
+        """Whether the member accepted the greeting."""
         return frame[:1] != b"-"
 
     def aside(self, frame: bytes) -> bool:
+        """Whether a frame is a push, which answers no command."""
         return frame[:1] == b">"
 
     def probe(self) -> bytes:
+        """The command whose answer tells role, offset and history."""
         return INFO
 
     @property
     def probes_apart(self) -> bool:
+        """True: probes need a link that carries no requests."""
         return True
 
     @property
     def probes_in_line(self) -> bool:
+        """True: a link takes another probe before it has answered the one before."""
         return True
 
     @property
     def rest(self) -> float:
+        """Seconds that a link rests after an answer: none."""
         return 0.0
 
     @property
     def whole_within(self) -> float:
+        """Seconds within which an answer that has begun must be complete: no bound."""
         return math.inf
 
     def proofs(self, core: Machine, groups: int) -> RespProofs:
+        """What is known of the members of these groups. `groups`: their number."""
         return RespProofs(core, groups)
 
 
-ASKS = {
+# the status command of an exchange: before a read, after a write
+STATUS_COMMANDS = {
     Question.NONE: b"",
     Question.STANDING: ROLE,
     Question.HISTORY: INFO,
     Question.BOTH: ROLE,
     Question.HISTORY_BOTH: INFO,
 }
-BEHIND = {
+# the second status command of a read, after its command
+TRAILING_STATUS_COMMANDS = {
     question: ROLE if question in (Question.BOTH, Question.HISTORY_BOTH) else b"" for question in Question
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Single:
-    """One command."""
+    """One command of a client.
+
+    `flavour`: its RESP version. `data`: the bytes of the command. `writes`: whether it writes.
+    """
 
     flavour: int
     data: bytes
     writes: bool
 
     def payload(self, question: Question, left: float = 0.0) -> bytes:
-        return self.data + ASKS[question] if self.writes else ASKS[question] + self.data + BEHIND[question]
+        """The bytes to send: the command and the status commands of this question. `left` is not used."""
+        return (
+            self.data + STATUS_COMMANDS[question]
+            if self.writes
+            else STATUS_COMMANDS[question] + self.data + TRAILING_STATUS_COMMANDS[question]
+        )
 
     def frames(self, question: Question) -> int:
-        return 1 + bool(question) + bool(BEHIND[question])
+        """How many frames answer it."""
+        return 1 + bool(question) + bool(TRAILING_STATUS_COMMANDS[question])
 
     def read(self, frames: list[bytes], question: Question) -> Result | None:
+        """What the frames so far mean; None while more are needed."""
         if not question:
             return Result(status(frames[0]), frames[0])
         if len(frames) == 1:
             verdict = status(frames[0])
-            if (
-                verdict is Status.FULL and not self.writes
-            ):  # to the question in front: the command fares no better
+            # the answer to the status command ahead of a read: the member will reject the command too
+            if verdict is Status.FULL and not self.writes:
                 return Result(verdict)
             return None
         if self.writes:
-            return Result(status(frames[0]), frames[0], standing(frames[1]))
+            return Result(status(frames[0]), frames[0], parse_replication_status(frames[1]))
         if len(frames) < self.frames(question):
             return None
-        after = standing(frames[2]) if BEHIND[question] else None
-        return Result(status(frames[1]), frames[1], standing(frames[0]), after)
+        after = parse_replication_status(frames[2]) if TRAILING_STATUS_COMMANDS[question] else None
+        return Result(status(frames[1]), frames[1], parse_replication_status(frames[0]), after)
 
     def cut(self, frames: list[bytes], question: Question) -> Result | None:
+        """What the frames mean if the link broke after them; None if the outcome is unknown."""
         if not frames:
             return None
         if self.writes:
@@ -145,20 +184,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """The commands of a MULTI, sent as one atomic unit with the client's EXEC."""
+    """The commands of a MULTI, which are sent together with MULTI and EXEC, so that they run as one.
+
+    `flavour`: its RESP version. `commands`: the bytes of each command. `writes`: whether one of them writes.
+    """
 
     flavour: int
-    data: tuple[bytes, ...]
+    commands: tuple[bytes, ...]
     writes: bool
 
     def payload(self, question: Question, left: float = 0.0) -> bytes:
-        body = MULTI + b"".join(self.data) + EXEC
-        return body + ASKS[question] if self.writes else ASKS[question] + body + BEHIND[question]
+        """The bytes to send: MULTI, the commands, EXEC and the status commands of this question. `left` is not used."""
+        body = MULTI + b"".join(self.commands) + EXEC
+        return (
+            body + STATUS_COMMANDS[question]
+            if self.writes
+            else STATUS_COMMANDS[question] + body + TRAILING_STATUS_COMMANDS[question]
+        )
 
     def frames(self, question: Question) -> int:
-        return len(self.data) + 2 + bool(question) + bool(BEHIND[question])
+        """How many frames answer it: one for each command, MULTI, EXEC and each status command."""
+        return len(self.commands) + 2 + bool(question) + bool(TRAILING_STATUS_COMMANDS[question])
 
     def read(self, frames: list[bytes], question: Question) -> Result | None:
+        """What the frames so far mean; None while more are needed."""
         if len(frames) == 1 and status(frames[0]) is Status.FULL:
             return Result(Status.FULL)
         if len(frames) < self.frames(question):
@@ -166,24 +215,28 @@
         if not question:
             return self._verdict(frames, None)
         if self.writes:
-            return self._verdict(frames[:-1], standing(frames[-1]))
-        if not BEHIND[question]:
-            return self._verdict(frames[1:], standing(frames[0]))
-        return replace(self._verdict(frames[1:-1], standing(frames[0])), after=standing(frames[-1]))
+            return self._verdict(frames[:-1], parse_replication_status(frames[-1]))
+        if not TRAILING_STATUS_COMMANDS[question]:
+            return self._verdict(frames[1:], parse_replication_status(frames[0]))
+        return replace(
+            self._verdict(frames[1:-1], parse_replication_status(frames[0])),
+            after=parse_replication_status(frames[-1]),
+        )
 
     def cut(self, frames: list[bytes], question: Question) -> Result | None:
-        if self.writes and len(frames) == len(self.data) + 2:
+        """What the frames mean if the link broke after them; None if the outcome is unknown."""
+        if self.writes and len(frames) == len(self.commands) + 2:
             return self._verdict(frames, None)
         return None
 
     def _verdict(self, body: list[bytes], standing: Standing | None) -> Result:
+        """What the answers to MULTI, the commands and EXEC mean. `standing`: what the status command told."""
         answer = body[-1]
-        if answer.startswith(
-            b"-EXECABORT"
-        ):  # nothing ran; the error of what was not queued tells why, or it does
+        # nothing ran; the error of a command that was not queued tells why, or else EXEC's own error does
+        if answer.startswith(b"-EXECABORT"):
             errors = [frame for frame in body[:-1] if frame[:1] == b"-"]
             verdict = next((status(frame) for frame in errors if status(frame) is not Status.OK), Status.OK)
-            if DEMOTED in answer:
+            if DEMOTED_ERROR in answer:
                 verdict = Status.MISS
             return Result(verdict, answer, standing)
         return Result(status(answer), answer, standing)
