--- a/banklift/config/groups.py
+++ b/banklift/config/groups.py
@@ -4,7 +4,7 @@
 
 from banklift.config.address import split_address
 from banklift.proxy.plan import Group, Member
-from banklift.resp.slots import SLOTS
+from banklift.resp.slots import SLOT_COUNT
 
 STATES = ("ready", "draining", "gone")
 
@@ -44,8 +44,8 @@
 
     def _slots(self, where: str, group: Group) -> None:
         for first, last in group.slots:
-            if not 0 <= first <= last < SLOTS:
-                self.problems.append(f"{where}.slots: {first}-{last} is no range within 0-{SLOTS - 1}")
+            if not 0 <= first <= last < SLOT_COUNT:
+                self.problems.append(f"{where}.slots: {first}-{last} is no range within 0-{SLOT_COUNT - 1}")
                 continue
             for slot in range(first, last + 1):
                 if slot in self.slots:
--- a/banklift/resp/__init__.py
+++ b/banklift/resp/__init__.py
@@ -1,1 +1,1 @@
-"""RESP by the public specification: frames, command knowledge, hash slots, how answers read. Pure."""
+"""RESP, by the public specification: framing, commands, hash slots, routing, clients and links. Does no I/O."""
--- a/banklift/resp/commands.py
+++ b/banklift/resp/commands.py
@@ -1,7 +1,8 @@
-"""What a command is: whether it reads or writes, where its keys stand, and whether the router can carry it.
+"""The commands that the router knows: whether each reads or writes, where its keys are, and whether it can be routed.
 
-The table names the commands that can be shared over pooled connections; whatever is not in it is refused by name. Keys
-follow the published key specifications (first, last, step; or counted by an argument).
+The table lists the commands that can share pooled connections. One that can't, as it needs a connection of its own, is
+listed as such and refused; any other command is refused as unknown. Key positions follow the published key
+specifications: first, last and step, or an argument that counts the keys after it.
 """
 
 from __future__ import annotations
@@ -11,35 +12,39 @@
 
 
 class Kind(Enum):
+    """How the router treats a command."""
+
     READ = "read"
     WRITE = "write"
-    LOCAL = "local"  # answered by the router
-    DEDICATED = "alone"  # needs a connection of its own: refused
+    LOCAL = "local"  # answered by the router itself
+    DEDICATED = "alone"  # needs a connection of its own, so it is refused
 
 
 @dataclass(frozen=True, slots=True)
 class Command:
+    """One command, with the positions of its keys among its arguments; the name is argument 0."""
+
     name: str
     kind: Kind
-    first_key: int = 1  # place of the first key; 0: none
-    last_key: int = 1  # place of the last key; negative: from the end
-    key_step: int = 1
-    key_count_index: int = 0  # place of the argument that counts the keys that follow it; 0: none
-    min_args: int = 2  # arguments with the name, at the least
+    first_key: int = 1  # index of the first key; 0: none
+    last_key: int = 1  # index of the last key; negative: counted from the end
+    key_step: int = 1  # distance between two keys
+    key_count_index: int = 0  # index of the argument that counts the keys after it; 0: none
+    min_args: int = 2  # the fewest arguments, with the name
 
     def keys(self, args: list[bytes]) -> list[bytes]:
-        """The keys among the arguments. Errors: `ValueError` for a count of keys that doesn't fit."""
+        """The keys among the arguments. Errors: `ValueError` if the count of keys is no number or doesn't fit."""
         if self.key_count_index:
-            keys = (
+            destination = (
                 args[self.first_key : self.key_count_index]
                 if self.first_key < self.key_count_index and self.first_key
                 else []
             )
             count = int(args[self.key_count_index])
-            named = args[self.key_count_index + 1 : self.key_count_index + 1 + count]
-            if count < 1 or len(named) < count:
+            counted = args[self.key_count_index + 1 : self.key_count_index + 1 + count]
+            if count < 1 or len(counted) < count:
                 raise ValueError("number of keys is wrong")
-            return [*keys, *named]
+            return [*destination, *counted]
         if not self.first_key:
             return []
         last = self.last_key if self.last_key >= 0 else len(args) + self.last_key
@@ -47,13 +52,23 @@
 
 
 def _table() -> dict[bytes, Command]:
+    """All commands by their names in capitals."""
     table: dict[bytes, Command] = {}
 
     def add(
-        kind: Kind, names: str, first: int = 1, last: int = 1, step: int = 1, counted: int = 0, arity: int = 2
+        kind: Kind,
+        names: str,
+        first_key: int = 1,
+        last_key: int = 1,
+        key_step: int = 1,
+        key_count_index: int = 0,
+        min_args: int = 2,
     ) -> None:
+        """Adds commands that differ in their name only. `names`: separated by spaces."""
         for name in names.split():
-            table[name.encode()] = Command(name, kind, first, last, step, counted, arity)
+            table[name.encode()] = Command(
+                name, kind, first_key, last_key, key_step, key_count_index, min_args
+            )
 
     add(
         Kind.READ,
@@ -64,52 +79,57 @@
         Kind.READ,
         "GETBIT BITPOS HGET HEXISTS HSTRLEN HMGET HSCAN LINDEX LPOS SISMEMBER SMISMEMBER SSCAN ZSCORE "
         "ZMSCORE ZRANK ZREVRANK ZSCAN PFCOUNT GEOHASH GEOPOS XPENDING",
-        arity=3,
+        min_args=3,
     )
     add(
         Kind.READ,
         "GETRANGE SUBSTR LRANGE ZRANGE ZREVRANGE ZRANGEBYSCORE ZREVRANGEBYSCORE ZRANGEBYLEX "
         "ZREVRANGEBYLEX ZCOUNT ZLEXCOUNT XRANGE XREVRANGE GEODIST GEOSEARCH",
-        arity=4,
+        min_args=4,
     )
-    add(Kind.READ, "MGET EXISTS TOUCH SINTER SUNION SDIFF", last=-1)
-    add(Kind.READ, "PFCOUNT", last=-1)
-    add(Kind.READ, "LCS", last=2, arity=3)
-    add(Kind.READ, "ZUNION ZINTER ZDIFF SINTERCARD ZINTERCARD", first=0, counted=1, arity=3)
+    add(Kind.READ, "MGET EXISTS TOUCH SINTER SUNION SDIFF", last_key=-1)
+    add(Kind.READ, "PFCOUNT", last_key=-1)
+    add(Kind.READ, "LCS", last_key=2, min_args=3)
+    add(Kind.READ, "ZUNION ZINTER ZDIFF SINTERCARD ZINTERCARD", first_key=0, key_count_index=1, min_args=3)
     add(Kind.READ, "BITFIELD_RO SORT_RO GEORADIUS_RO GEORADIUSBYMEMBER_RO")
     add(Kind.WRITE, "INCR DECR GETDEL GETEX PERSIST LPOP RPOP SPOP ZPOPMIN ZPOPMAX SORT BITFIELD PFADD")
     add(
         Kind.WRITE,
         "SET SETNX GETSET APPEND INCRBY DECRBY INCRBYFLOAT EXPIRE PEXPIRE EXPIREAT PEXPIREAT HDEL LPUSH "
         "RPUSH LPUSHX RPUSHX SADD SREM ZREM XACK XDEL XTRIM GEOADD",
-        arity=3,
+        min_args=3,
     )
     add(
         Kind.WRITE,
         "SETEX PSETEX SETRANGE SETBIT HSET HMSET HSETNX HINCRBY HINCRBYFLOAT LSET LTRIM LREM LINSERT ZADD "
         "ZINCRBY ZREMRANGEBYSCORE ZREMRANGEBYRANK ZREMRANGEBYLEX XADD XCLAIM XAUTOCLAIM RESTORE",
-        arity=4,
+        min_args=4,
+    )
+    add(Kind.WRITE, "DEL UNLINK", last_key=-1)
+    add(Kind.WRITE, "MSET MSETNX", last_key=-1, key_step=2, min_args=3)
+    add(
+        Kind.WRITE,
+        "RENAME RENAMENX COPY RPOPLPUSH LMOVE SMOVE ZRANGESTORE GEOSEARCHSTORE",
+        last_key=2,
+        min_args=3,
     )
-    add(Kind.WRITE, "DEL UNLINK", last=-1)
-    add(Kind.WRITE, "MSET MSETNX", last=-1, step=2, arity=3)
-    add(Kind.WRITE, "RENAME RENAMENX COPY RPOPLPUSH LMOVE SMOVE ZRANGESTORE GEOSEARCHSTORE", last=2, arity=3)
-    add(Kind.WRITE, "SINTERSTORE SUNIONSTORE SDIFFSTORE PFMERGE", last=-1, arity=3)
-    add(Kind.WRITE, "BITOP", first=2, last=-1, arity=4)
-    add(Kind.WRITE, "ZUNIONSTORE ZINTERSTORE ZDIFFSTORE", first=1, counted=2, arity=4)
-    add(Kind.WRITE, "LMPOP ZMPOP", first=0, counted=1, arity=4)
-    add(Kind.WRITE, "EVAL EVALSHA", first=0, counted=2, arity=4)
-    add(Kind.READ, "EVAL_RO EVALSHA_RO", first=0, counted=2, arity=4)
-    add(Kind.LOCAL, "PING QUIT RESET COMMAND INFO ROLE MULTI EXEC DISCARD HELLO", first=0, arity=1)
-    add(Kind.LOCAL, "ECHO AUTH SELECT CLIENT BANKLIFT.SEEN", first=0)
-    add(Kind.LOCAL, "WAIT", first=0, arity=3)
-    add(Kind.LOCAL, "BANKLIFT.TOKEN", first=0, arity=1)
+    add(Kind.WRITE, "SINTERSTORE SUNIONSTORE SDIFFSTORE PFMERGE", last_key=-1, min_args=3)
+    add(Kind.WRITE, "BITOP", first_key=2, last_key=-1, min_args=4)
+    add(Kind.WRITE, "ZUNIONSTORE ZINTERSTORE ZDIFFSTORE", first_key=1, key_count_index=2, min_args=4)
+    add(Kind.WRITE, "LMPOP ZMPOP", first_key=0, key_count_index=1, min_args=4)
+    add(Kind.WRITE, "EVAL EVALSHA", first_key=0, key_count_index=2, min_args=4)
+    add(Kind.READ, "EVAL_RO EVALSHA_RO", first_key=0, key_count_index=2, min_args=4)
+    add(Kind.LOCAL, "PING QUIT RESET COMMAND INFO ROLE MULTI EXEC DISCARD HELLO", first_key=0, min_args=1)
+    add(Kind.LOCAL, "ECHO AUTH SELECT CLIENT BANKLIFT.SEEN", first_key=0)
+    add(Kind.LOCAL, "WAIT", first_key=0, min_args=3)
+    add(Kind.LOCAL, "BANKLIFT.TOKEN", first_key=0, min_args=1)
     add(
         Kind.DEDICATED,
         "WATCH UNWATCH BLPOP BRPOP BLMOVE BRPOPLPUSH BLMPOP BZPOPMIN BZPOPMAX BZMPOP XREAD XREADGROUP "
         "SUBSCRIBE PSUBSCRIBE SSUBSCRIBE UNSUBSCRIBE PUNSUBSCRIBE SUNSUBSCRIBE PUBLISH SPUBLISH MONITOR "
         "WAITAOF SYNC PSYNC REPLCONF SCRIPT FUNCTION FCALL FCALL_RO",
-        first=0,
-        arity=1,
+        first_key=0,
+        min_args=1,
     )
     return table
 
@@ -118,4 +138,5 @@
 
 
 def lookup(name: bytes) -> Command | None:
+    """The command of this name in any case; None if it is unknown."""
     return COMMANDS.get(name) or COMMANDS.get(name.upper())
--- a/banklift/resp/frames.py
+++ b/banklift/resp/frames.py
@@ -32,13 +32,14 @@
 OPEN_STRING = -2  # a string that comes in chunks
 # quoting in inline commands
 DOUBLE_QUOTE, SINGLE_QUOTE, BACKSLASH = ord('"'), ord("'"), ord("\\")
+# what a letter after a backslash stands for in double quotes
 ESCAPES = {
     ord("n"): 10,
     ord("r"): 13,
     ord("t"): 9,
     ord("b"): 8,
     ord("a"): 7,
-}  # after a backslash in double quotes
+}
 
 
 class ProtocolError(Exception):
@@ -70,8 +71,8 @@
                 end = data.find(b"\r\n", pos)
                 if end < 0:
                     break
-                kind = data[pos]
-                if kind == 36 and data[pos + 1] != 63:  # "$", but not "$?"
+                type_byte = data[pos]
+                if type_byte == 36 and data[pos + 1] != 63:  # "$", but not "$?"
                     try:
                         length = int(data[pos + 1 : end])
                     except ValueError:
@@ -79,7 +80,7 @@
                     end += length + 2 if length >= 0 else 0
                     if length > self.limit or end + 2 > size or data[end : end + 2] != b"\r\n":
                         break
-                elif kind not in RESP2_LINE_TYPES:
+                elif type_byte not in RESP2_LINE_TYPES:
                     break
                 end += 2
                 frames.append(data if not pos and end == size else data[pos:end])
@@ -105,13 +106,13 @@
                 if len(buffer) - self.pos > MAX_LINE_BYTES and buffer[self.pos] not in SIMPLE_TYPES:
                     raise ProtocolError("too big header")
                 return False
-            kind, after = buffer[self.pos], end + 2
-            if kind in SIMPLE_TYPES:
+            type_byte, after = buffer[self.pos], end + 2
+            if type_byte in SIMPLE_TYPES:
                 self.pos = after
                 if self._ended():
                     return True
-            elif kind in BLOB_TYPES:
-                if kind == 36 and buffer[self.pos + 1 : end] == b"?":  # "$?" begins a streamed string
+            elif type_byte in BLOB_TYPES:
+                if type_byte == 36 and buffer[self.pos + 1 : end] == b"?":  # "$?" begins a streamed string
                     self._open(OPEN_STRING)
                     self.pos = after
                     continue
@@ -127,27 +128,29 @@
                 self.pos = after
                 if self._ended():
                     return True
-            elif kind in AGGREGATE_TYPES:
+            elif type_byte in AGGREGATE_TYPES:
                 if buffer[self.pos + 1 : end] == b"?":
                     self._open(OPEN_AGGREGATE)
                     self.pos = after
                     continue
                 count = self._count(end)
-                if kind in b"%|":
+                if type_byte in b"%|":
                     count *= 2
                 self.pos = after
-                if kind == 124:  # "|", an attribute: its pairs, then the element that it describes
+                if type_byte == 124:  # "|", an attribute: its pairs, then the element that it describes
                     self._open(count + 1)
                 elif count > 0:
                     self._open(count)
                 elif self._ended():
                     return True
-            elif kind == 46 and stack and stack[-1] == OPEN_AGGREGATE:  # "." ends a streamed aggregate
+            elif type_byte == 46 and stack and stack[-1] == OPEN_AGGREGATE:  # "." ends a streamed aggregate
                 self.pos = after
                 stack.pop()
                 if self._ended():
                     return True
-            elif kind == 59 and stack and stack[-1] == OPEN_STRING:  # ";" begins a chunk of a streamed string
+            elif (
+                type_byte == 59 and stack and stack[-1] == OPEN_STRING
+            ):  # ";" begins a chunk of a streamed string
                 size = self._count(end)
                 after += size + 2 if size else 0
                 if len(buffer) < after:
--- a/banklift/resp/slots.py
+++ b/banklift/resp/slots.py
@@ -4,13 +4,14 @@
 
 import binascii
 
-SLOTS = 16384
+SLOT_COUNT = 16384
 
 
 def slot(key: bytes) -> int:
+    """The hash slot of a key: that of the part between its first `{` and the next `}` unless that part is empty."""
     start = key.find(b"{")
     if start >= 0:
         end = key.find(b"}", start + 1)
         if end > start + 1:
             key = key[start + 1 : end]
-    return binascii.crc_hqx(key, 0) % SLOTS
+    return binascii.crc_hqx(key, 0) % SLOT_COUNT
