--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""Unmodified clients against a router on sockets: redis-py, coredis, a bare hiredis reader."""
+"""Unmodified client libraries against routers on sockets: redis-py, coredis, and a bare hiredis reader."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Site:
-    """A stand and two routers on loopback sockets, in a thread of their own."""
+    """Emulated members (a `Stand`) and two routers on loopback sockets, in a thread of their own."""
 
     def __init__(self, config: Config) -> None:
         self.config = config
@@ -53,37 +53,41 @@
             self.ready.set()
 
     def call(self, function: Any, *args: Any) -> Any:
-        """Run something in the site's own thread."""
+        """Calls a function in the site's thread and returns its result."""
         return self.portal.call(function, *args)
 
     def close(self) -> None:
+        """Stops everything and waits for the thread."""
         self.portal.call(self.stop.set)
         self.thread.join()
 
     def port(self, router: int = 0) -> int:
+        """The port of one of the routers."""
         return int(self.routers.addresses[router].rpartition(":")[2])
 
     def raw(self, router: int = 0) -> socket.socket:
+        """A plain socket to one of the routers."""
         return socket.create_connection(("127.0.0.1", self.port(router)), timeout=10)
 
 
 def patient(config: Config, times: float = 10) -> Config:
-    """Deadlines that no machine is too slow for."""
+    """The config with all deadlines and aims `times` longer, so that a slow machine meets them."""
     classes = [
-        msgspec.structs.replace(kind, aim=times * kind.aim, deadline=times * kind.deadline)
-        for kind in config.classes
+        msgspec.structs.replace(item, aim=times * item.aim, deadline=times * item.deadline)
+        for item in config.classes
     ]
     return msgspec.structs.replace(config, classes=classes)
 
 
 @pytest.fixture(scope="module")
 def site() -> Iterator[Site]:
-    place = Site(patient(load(EXAMPLE)))
-    yield place
-    place.close()
+    site = Site(patient(load(EXAMPLE)))
+    yield site
+    site.close()
 
 
 def read_until(sock: socket.socket, size: int) -> bytes:
+    """Reads at least `size` bytes, or up to the end of the stream."""
     data = bytearray()
     while len(data) < size and (part := sock.recv(65536)):
         data += part
@@ -91,6 +95,7 @@
 
 
 def read_all(sock: socket.socket) -> bytes:
+    """Reads up to the end of the stream."""
     data = b""
     while part := sock.recv(65536):
         data += part
@@ -98,7 +103,7 @@
 
 
 @pytest.mark.parametrize("proto", [2, 3])
-def test_redis_py(site: Site, proto: int) -> None:
+def test_redis_py_runs_commands_pipelines_and_transactions(site: Site, proto: int) -> None:
     with redis.Redis(
         port=site.port(), protocol=proto, client_name=f"py-{proto}", socket_timeout=20
     ) as client:
@@ -124,7 +129,7 @@
 
 
 @pytest.mark.parametrize("proto", [2, 3])
-def test_redis_py_asyncio(site: Site, proto: int) -> None:
+def test_redis_py_asyncio_runs_commands_and_pipelines(site: Site, proto: int) -> None:
     async def main() -> None:
         async with redis.asyncio.Redis(port=site.port(1), protocol=proto, socket_timeout=20) as client:
             assert await client.set(f"async:{proto}", "v")
@@ -137,7 +142,7 @@
     anyio.run(main)
 
 
-def test_coredis(site: Site) -> None:
+def test_coredis_runs_commands(site: Site) -> None:
     async def main() -> None:
         async with coredis.Redis(port=site.port()) as client:
             assert await client.set("core:1", "v")
@@ -147,7 +152,7 @@
     anyio.run(main)
 
 
-def test_a_bare_reader_gets_its_answers_in_order(site: Site) -> None:
+def test_pipelined_replies_come_in_the_order_of_the_commands(site: Site) -> None:
     with site.raw() as sock:
         sent = b"".join(
             command(*args)
@@ -170,7 +175,7 @@
     assert answers == [b"OK", b"x", b"PONG", None, b"e", 2, None, 2, b"last", b"OK"]
 
 
-def test_the_words_of_refusals(site: Site) -> None:
+def test_commands_that_are_refused_get_their_error_texts(site: Site) -> None:
     with redis.Redis(port=site.port(), socket_timeout=20) as client:
         for args, text in [
             (("BLPOP", "a", 0), "needs a connection of its own"),
@@ -191,7 +196,7 @@
             client.execute_command("MGET", "a", "b", "c", "d", "e")
 
 
-def test_a_unit_is_all_or_nothing(site: Site) -> None:
+def test_a_transaction_runs_as_a_whole_or_not_at_all(site: Site) -> None:
     with site.raw() as sock:
         sock.sendall(
             b"MULTI\r\nSET {u}a 1\r\nNOSUCH\r\nEXEC\r\nGET {u}a\r\nMULTI\r\nEXEC\r\nMULTI\r\nSET {u}a 2\r\n"
@@ -213,26 +218,27 @@
         (b"PING\r\n*1\r\n$999999999999\r\n", b"+PONG\r\n-ERR Protocol error: invalid bulk length\r\n"),
     ],
 )
-def test_broken_framing_is_told_and_closed(site: Site, sent: bytes, answer: bytes) -> None:
+def test_a_protocol_error_is_replied_and_the_connection_closed(
+    site: Site, sent: bytes, answer: bytes
+) -> None:
     with site.raw() as sock:
         sock.sendall(sent)
         assert read_all(sock) == answer
 
 
-def test_a_client_that_closes_its_side_gets_what_is_under_way(site: Site) -> None:
+def test_a_half_closed_client_gets_the_replies_under_way(site: Site) -> None:
     with site.raw() as sock:
         sock.sendall(b"SET half 0\r\n")
-        assert (
-            sock.recv(5, socket.MSG_WAITALL) == b"+OK\r\n"
-        )  # so the next one waits for no word of the primary
+        # after this the router knows the primary, so the next write does not wait for its report
+        assert sock.recv(5, socket.MSG_WAITALL) == b"+OK\r\n"
         sock.sendall(b"SET half 1\r\nGET half\r\n")
         sock.shutdown(socket.SHUT_WR)
         answers = read_all(sock)
-    assert answers.startswith(b"+OK\r\n")  # the read waited for the write: served or refused, but answered
+    assert answers.startswith(b"+OK\r\n")  # the read waits for the write, and is served or refused
     assert answers[5:] == b"$1\r\n1\r\n" or answers[5:].startswith(b"-TRYAGAIN refused")
 
 
-def test_a_session_shows_its_mark_to_the_next_router(site: Site) -> None:
+def test_a_session_hands_its_token_to_another_router_and_reads_its_write(site: Site) -> None:
     first, second = (redis.Redis(port=site.port(number), socket_timeout=20) for number in (0, 1))
     with first, second, first.client() as one, second.client() as two:  # type: ignore[no-untyped-call]
         assert one.execute_command("BANKLIFT.TOKEN") == b"-"
@@ -245,9 +251,9 @@
         assert two.execute_command("BANKLIFT.TOKEN") == token
 
 
-def test_users_have_to_log_in() -> None:
+def test_users_must_log_in_and_limits_hold() -> None:
     config = patient(load(EXAMPLE))
-    place = Site(
+    site = Site(
         msgspec.structs.replace(
             config,
             users=[User(name="dam", password="secret")],
@@ -255,7 +261,7 @@
         )
     )
     try:
-        with place.raw() as sock:
+        with site.raw() as sock:
             sock.sendall(
                 b"GET a\r\nAUTH dam wrong\r\nAUTH dam secret\r\nSET a 1\r\nHELLO 3 SETNAME x\r\nGET a\r\n"
             )
@@ -263,104 +269,112 @@
             answers = read_all(sock)
             assert answers.startswith(b"-NOAUTH Authentication required.\r\n-WRONGPASS")
             assert b"+OK\r\n" in answers and b"%7\r\n" in answers
-        with redis.Redis(port=place.port(), username="dam", password="secret", socket_timeout=20) as client:
+        with redis.Redis(port=site.port(), username="dam", password="secret", socket_timeout=20) as client:
             assert client.set("a", "2")
             pipe = client.pipeline(transaction=False)
-            for _ in range(50):  # many times the bound of a line
+            for _ in range(50):  # many times the limit of the pipeline
                 pipe.incr("n")
             assert pipe.execute() == list(range(1, 51))
-            with place.raw() as sock, place.raw() as third:
+            with site.raw() as sock, site.raw() as third:
                 sock.sendall(b"PING\r\n")
                 assert read_until(sock, 1).startswith(b"-NOAUTH")
                 assert read_all(third) == b"-ERR max number of clients reached\r\n"
             with pytest.raises(redis.ResponseError, match="invalid bulk length"):
                 client.set("a", "x" * 2000)
     finally:
-        place.close()
+        site.close()
 
 
-def unhurried(config: Config, name: str) -> Config:
-    """Requests of that class, and connections to members, may take as long as the machine needs. The other classes keep
-    their aims: how often held requests are looked at goes by the shortest."""
+def with_time_for_class(config: Config, name: str) -> Config:
+    """The config in which requests of one class, connects and probes may take as long as the machine needs.
+
+    The other classes keep their aims, as the shortest aim sets how often held requests are looked at.
+    """
     classes = [
-        msgspec.structs.replace(kind, aim=1000 * kind.aim, deadline=1000 * kind.deadline)
-        if kind.name == name
-        else kind
-        for kind in config.classes
+        msgspec.structs.replace(item, aim=1000 * item.aim, deadline=1000 * item.deadline)
+        if item.name == name
+        else item
+        for item in config.classes
     ]
     limits = msgspec.structs.replace(config.limits, connect=600.0, probe=600.0)
     return msgspec.structs.replace(config, classes=classes, limits=limits)
 
 
-def test_a_slow_reader_is_no_longer_read() -> None:
-    """It asks for far more than sockets hold, reads nothing at first, and still gets every answer: each the value."""
-    value, count = b"v" * 200_000, 1000
-    place = Site(unhurried(patient(load(EXAMPLE)), "own-picks"))
+def test_replies_to_a_slow_reader_stay_bounded_and_all_arrive() -> None:
+    """A client asks for far more than sockets buffer and reads nothing at first.
+
+    The router must buffer a bounded amount of replies for it, and the client must get every reply with the value.
+    """
+    value = b"v" * 200_000
+    count = 1000
+    site = Site(with_time_for_class(patient(load(EXAMPLE)), "own-picks"))
     try:
-        with place.raw() as sock:
+        with site.raw() as sock:
             sock.settimeout(300)
             sock.sendall(command("SET", "big", value))
             assert read_until(sock, 5) == b"+OK\r\n"
             thread = Thread(target=sock.sendall, args=(command("GET", "big") * count,))
             thread.start()
-            host, most = place.routers.hosts[0], 0
+            host = site.routers.hosts[0]
+            most_unsent = 0
 
             def unsent() -> int:
                 return max((len(handle._unsent) for handle in host.clients.values()), default=0)  # type: ignore[attr-defined]
 
-            while most < 2**20:  # until it is full
-                most = max(most, place.call(unsent))
-            reader, got = hiredis.Reader(), 0
-            while got < count:
+            while most_unsent < 2**20:  # until the router has buffered a MiB
+                most_unsent = max(most_unsent, site.call(unsent))
+            reader = hiredis.Reader()
+            received = 0
+            while received < count:
                 reader.feed(sock.recv(1 << 20))
-                most = max(most, place.call(unsent))
+                most_unsent = max(most_unsent, site.call(unsent))
                 while (answer := reader.gets()) is not False:
-                    assert answer == value  # a refusal, too, would end the test here
-                    got += 1
+                    assert answer == value  # a refusal would fail here too
+                    received += 1
             thread.join()
             assert not reader.has_data()
     finally:
-        place.close()
-    assert most < 260 * len(value)  # one line's worth, not all
+        site.close()
+    assert most_unsent < 260 * len(value)  # about one full pipeline of replies, not all of them
 
 
-def test_refused_and_failed_are_told_apart_by_real_clients() -> None:
-    """Nobody takes writes: refused. The primary swallows one: it may have run."""
-    place = Site(load(EXAMPLE))
+def test_refused_and_uncertain_writes_raise_different_errors() -> None:
+    """A write without a primary is refused; a write that the primary never answers is uncertain."""
+    site = Site(load(EXAMPLE))
     try:
-        with redis.Redis(port=place.port(), socket_timeout=20) as client:
+        with redis.Redis(port=site.port(), socket_timeout=20) as client:
             client.set("pick:1", "a")
             name = next(
                 name
-                for name, host in place.stand.nodes.items()
+                for name, host in site.stand.nodes.items()
                 if b"pick:1" in host.node.data and host.node.primary is None
             )
-            place.call(lambda: setattr(place.stand.nodes[name].node.faults, "hang", True))
+            site.call(lambda: setattr(site.stand.nodes[name].node.faults, "hang", True))
             with pytest.raises(redis.ResponseError, match="UNCERTAIN failed: it may have run"):
                 client.set("pick:1", "b")
-            place.call(place.stand.nodes[name].kill)
+            site.call(site.stand.nodes[name].kill)
             with pytest.raises(redis.exceptions.TryAgainError, match="refused: nothing ran; retry_after_ms="):
                 client.set("pick:1", "c")
 
             async def main() -> None:
-                async with coredis.Redis(port=place.port()) as other:
+                async with coredis.Redis(port=site.port()) as other:
                     with pytest.raises(coredis.exceptions.ResponseError, match="refused: nothing ran"):
                         await other.set("pick:1", "d")
 
             anyio.run(main)
-            # in the other group a note, safe to repeat, is swallowed: the words say so, and the error stays the same
+            # in the other group a write that is safe to repeat is never answered: TRYAGAIN too, with a text that says so
             other = next(
                 host
-                for host in place.stand.nodes.values()
+                for host in site.stand.nodes.values()
                 if host.node.primary is None and host.listener is not None
             )
             keys = (f"note:{number}" for number in range(100))
             key = next(key for key in keys if slot(key.encode()) // 8192 != slot(b"pick:1") // 8192)
             client.set(key, "a")
             assert key.encode() in other.node.data
-            place.call(lambda: setattr(other.node.faults, "hang", True))
+            site.call(lambda: setattr(other.node.faults, "hang", True))
             with pytest.raises(redis.exceptions.TryAgainError, match="it may have run and is safe to repeat"):
                 client.set(key, "b")
-            assert client.ping()  # on the connection that it had
+            assert client.ping()  # the connection stays usable
     finally:
-        place.close()
+        site.close()
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The operator's file: what is wrong is named with file, place and reason; rosters replace each other whole or not."""
+"""The operator's file: a fault is refused with file, place and reason; a roster is taken as a whole or refused."""
 
 from __future__ import annotations
 
@@ -19,21 +19,22 @@
 from banklift.interface import Need
 from banklift.resp.routes import CrossGroupKeys, Routes, UnownedKey, strictest_class
 
-Doc = dict[str, Any]
+Document = dict[str, Any]
 
 
-def example() -> Doc:
-    found: Doc = json.loads(evaluate(EXAMPLE))
-    return found
+def example() -> Document:
+    document: Document = json.loads(evaluate(EXAMPLE))
+    return document
 
 
-def spoil(change: Callable[[Doc], object]) -> Doc:
-    doc = example()
-    change(doc)
-    return doc
+def changed_example(change: Callable[[Document], object]) -> Document:
+    document = example()
+    change(document)
+    return document
 
 
-BAD: list[tuple[Callable[[Doc], object], str]] = [
+# a change to the example, and the beginning of the reason that it is refused with
+FAULTS: list[tuple[Callable[[Document], object], str]] = [
     (lambda d: d.update(colour="red"), "$: Object contains unknown field `colour`"),
     (lambda d: d.pop("groups"), "$: Object missing required field `groups`"),
     (lambda d: d.update(groups=[]), "$.groups: Expected `array` of length >= 1"),
@@ -96,12 +97,12 @@
 ]
 
 
-@pytest.mark.parametrize(("change", "reason"), BAD)
-def test_a_bad_file_is_refused_for_its_reason(
-    tmp_path: Path, change: Callable[[Doc], object], reason: str
+@pytest.mark.parametrize(("change", "reason"), FAULTS)
+def test_a_fault_is_refused_with_place_and_reason(
+    tmp_path: Path, change: Callable[[Document], object], reason: str
 ) -> None:
     path = tmp_path / "bad.jsonnet"
-    path.write_text(json.dumps(spoil(change)))
+    path.write_text(json.dumps(changed_example(change)))
     with pytest.raises(ConfigError) as caught:
         load(path)
     assert str(caught.value).splitlines()[0].startswith(f"{path}: {reason}")
@@ -109,64 +110,65 @@
     assert result.exit_code == 2 and reason in result.output
 
 
-def test_every_reason_is_told_at_once(tmp_path: Path) -> None:
+def test_all_faults_are_reported_together(tmp_path: Path) -> None:
     path = tmp_path / "bad.jsonnet"
-    path.write_text(json.dumps(spoil(lambda d: d.update(listen="x", sessions="y", default_read="z"))))
+    path.write_text(
+        json.dumps(changed_example(lambda d: d.update(listen="x", sessions="y", default_read="z")))
+    )
     with pytest.raises(ConfigError) as caught:
         load(path)
     assert len(str(caught.value).splitlines()) == 3
 
 
-def test_files_that_are_none(tmp_path: Path) -> None:
+def test_missing_truncated_and_importing_files_are_refused(tmp_path: Path) -> None:
     for path, reason in [(tmp_path / "absent", ": no such file$"), (tmp_path, ": no such file$")]:
         with pytest.raises(ConfigError, match=reason):
             load(path)
-    (tmp_path / "torn").write_text(EXAMPLE.read_text()[:200])
-    with pytest.raises(ConfigError, match="torn"):
-        load(tmp_path / "torn")
-    (tmp_path / "spy").write_text("importstr '/etc/hostname'")
+    (tmp_path / "truncated").write_text(EXAMPLE.read_text()[:200])
+    with pytest.raises(ConfigError, match="truncated"):
+        load(tmp_path / "truncated")
+    (tmp_path / "importing").write_text("importstr '/etc/hostname'")
     with pytest.raises(ConfigError, match="outside the folder"):
-        load(tmp_path / "spy")
+        load(tmp_path / "importing")
 
 
-def test_the_example_is_fine() -> None:
+def test_the_example_passes_the_check() -> None:
     result = CliRunner().invoke(app, ["check", str(EXAMPLE)])
     assert result.exit_code == 0 and "2 groups, 6 members, 7 classes" in result.output
 
 
-def test_routes() -> None:
+def test_commands_are_routed_by_class_and_group() -> None:
     config = load(EXAMPLE)
     routes = Routes(config)
     assert routes.request_class(b"GET", [b"trace:1"], False, "default").name == "trace-view"
     assert routes.request_class(b"GET", [b"trace:1", b"pick:1"], False, "default").name == "own-picks"
-    assert (
-        routes.request_class(b"LPOP", [b"trace:1"], True, "default").name == "pick-save"
-    )  # a read's route is none for a write
+    # the route of reads does not apply to a write
+    assert routes.request_class(b"LPOP", [b"trace:1"], True, "default").name == "pick-save"
     assert routes.request_class(b"SET", [b"note:1"], True, "default").name == "note"
     assert routes.group([b"{a}1", b"{a}2"]) in (0, 1)
     with pytest.raises(CrossGroupKeys):
         routes.group([b"a", b"b", b"c", b"d", b"e"])
-    holed = msgspec.structs.replace(
+    partly_owned = msgspec.structs.replace(
         config, groups=[msgspec.structs.replace(config.groups[0], prefixes=["pick:"])]
     )
-    routes = Routes(holed)
+    routes = Routes(partly_owned)
     assert routes.group([b"pick:anything"]) == 0
     with pytest.raises(UnownedKey):
         for number in range(100):
             routes.group([b"%d" % number])
-    kinds = [routes.classes[name] for name in ("note", "pick-save", "final")]
-    assert strictest_class(kinds).name == "pick-save" and strictest_class(kinds[2:]).need is Need.FRESH
+    classes = [routes.classes[name] for name in ("note", "pick-save", "final")]
+    assert strictest_class(classes).name == "pick-save" and strictest_class(classes[2:]).need is Need.FRESH
 
 
-def test_a_roster_is_whole_or_refused(tmp_path: Path) -> None:
+def test_a_truncated_or_incomplete_roster_is_refused(tmp_path: Path) -> None:
     config = load(EXAMPLE)
     path = tmp_path / "roster.json"
     groups = msgspec.to_builtins(config.groups)
     text = json.dumps(groups)
     path.write_text(text)
     assert build.roster(config, load_roster(path, config), 0.0).members[0].name == "west-0"
-    for cut in range(0, len(text) - 1, 17):
-        path.write_text(text[:cut])
+    for size in range(0, len(text) - 1, 17):
+        path.write_text(text[:size])
         with pytest.raises(ConfigError):
             load_roster(path, config)
     path.write_text(json.dumps(groups[:1]))
@@ -177,8 +179,8 @@
         load_roster(path, config)
 
 
-def test_a_router_process_serves_says_so_and_stops(tmp_path: Path) -> None:
-    """The daemon by itself: its line on standard output, a client's PING, a bad roster, SIGTERM."""
+def test_a_router_process_reports_its_address_serves_and_stops(tmp_path: Path) -> None:
+    """One router process: its line on standard output, PING before and after a bad roster, SIGTERM."""
     config = msgspec.structs.replace(load(EXAMPLE), listen="127.0.0.1:0", roster="roster.json")
     (tmp_path / "router.json").write_bytes(msgspec.json.encode(config))
 
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -1,4 +1,4 @@
-"""The `fleet` table of the operator's file: each fault is refused with file, place and reason, by all who read it."""
+"""The `fleet` table of the operator's file: every command that reads it refuses a fault with file, place and reason."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
     load_router,
 )
 
-Doc = dict[str, Any]
-BAD = 2  # exit code of a file that is refused
+Document = dict[str, Any]
+REFUSED_EXIT_CODE = 2  # of a command whose file is refused
 
 
-def fleet_table() -> Doc:
+def fleet_table() -> Document:
     """Three voters; two zones with two aggregators each, on two machines each."""
     return {
         "name": "game",
@@ -42,20 +42,21 @@
     }
 
 
-def router_file(**changes: Any) -> Doc:
+def router_file(**changes: Any) -> Document:
     """The file of router r7, which is neither voter nor aggregator."""
-    doc: Doc = json.loads(evaluate(EXAMPLE))
-    return {**doc, "name": "r7", "fleet": fleet_table(), **changes}
+    document: Document = json.loads(evaluate(EXAMPLE))
+    return {**document, "name": "r7", "fleet": fleet_table(), **changes}
 
 
-def write(folder: Path, doc: Doc) -> Path:
+def write(folder: Path, document: Document) -> Path:
+    """Writes a file of the operator and returns its path."""
     path = folder / "file.jsonnet"
-    path.write_text(json.dumps(doc))
+    path.write_text(json.dumps(document))
     return path
 
 
 def reasons(path: Path, read: Callable[[Path], object]) -> list[str]:
-    """What is told against a file, without the file's name in front of each line."""
+    """The reasons with which a file is refused, without the file's name in front of each line."""
     with pytest.raises(ConfigError) as caught:
         read(path)
     lines = str(caught.value).splitlines()
@@ -63,8 +64,9 @@
     return [line.removeprefix(f"{path}: ") for line in lines]
 
 
-Spoil = Callable[[Doc], object]  # makes one change to a `fleet` table
-FAULTS: dict[str, tuple[Spoil, list[str]]] = {
+Change = Callable[[Document], object]  # changes a `fleet` table
+# changes to a table and the reasons they are refused for
+FAULTS: dict[str, tuple[Change, list[str]]] = {
     "a zone without an aggregator": (
         lambda fleet: fleet.update(zone="west"),
         ["$.fleet.zone: zone 'west' has no aggregator; zones with one: 'north', 'south'"],
@@ -88,7 +90,7 @@
         lambda fleet: fleet["aggregators"]["a3"].update(address="10.0.1.1:7100"),
         ["$.fleet.aggregators.a3.address: 10.0.1.1:7100 is already the address of aggregator 'a0'"],
     ),
-    "one address twice in a zone": (  # which is one machine twice as well
+    "one address twice in a zone": (  # so both run on one machine
         lambda fleet: fleet["aggregators"]["a3"].update(address="10.0.2.1:7100"),
         [
             "$.fleet.aggregators.a3.address: 10.0.2.1:7100 is already the address of aggregator 'a2'",
@@ -108,7 +110,7 @@
         lambda fleet: fleet["aggregators"]["a2"].update(address="10.0.2.1"),
         ["$.fleet.aggregators.a2.address: '10.0.2.1' is not host:port"],
     ),
-    "a port beyond all": (
+    "a port above the highest": (
         lambda fleet: fleet["aggregators"]["a2"].update(address="10.0.2.1:70000"),
         ["$.fleet.aggregators.a2.address: '10.0.2.1:70000' is not host:port"],
     ),
@@ -150,7 +152,7 @@
             "$.fleet.sub_lease: 60 s is longer than the lease of 9 s that an aggregator itself holds",
         ],
     ),
-    # faults of type: one is told at a time
+    # faults of a field's type: only the first is reported
     "no address": (
         lambda fleet: fleet["aggregators"]["a0"].pop("address"),
         ["$.fleet.aggregators[...]: Object missing required field `address`"],
@@ -175,37 +177,40 @@
 FAULT_IDS = [name.replace(" ", "-") for name in FAULTS]
 
 
-@pytest.mark.parametrize(("spoil", "expected"), FAULTS.values(), ids=FAULT_IDS)
-def test_a_fault_is_refused_with_place_and_reason(tmp_path: Path, spoil: Spoil, expected: list[str]) -> None:
+@pytest.mark.parametrize(("change", "expected"), FAULTS.values(), ids=FAULT_IDS)
+def test_a_fault_is_refused_with_place_and_reason(
+    tmp_path: Path, change: Change, expected: list[str]
+) -> None:
     fleet = fleet_table()
-    spoil(fleet)
+    change(fleet)
     path = write(tmp_path, router_file(fleet=fleet))
     assert reasons(path, load) == expected
     assert reasons(path, load_router) == expected
     for command in (["check", str(path)], ["router", "--config", str(path)]):
         result = CliRunner().invoke(app, command)
-        assert result.exit_code == BAD
+        assert result.exit_code == REFUSED_EXIT_CODE
         assert result.stderr.splitlines() == [f"{path}: {reason}" for reason in expected]
 
 
-def test_a_name_that_occurs_twice(tmp_path: Path) -> None:
-    """Twice a key in one table; the templates refuse that, and say which."""
+def test_a_duplicate_key_is_refused_by_name(tmp_path: Path) -> None:
+    """Jsonnet itself refuses a table with a key that occurs twice, and names the key."""
     text = json.dumps(router_file()).replace('"a1":', '"a0":')
     path = tmp_path / "file.jsonnet"
     path.write_text(text)
-    found = "\n".join(reasons_of_text(path))
-    assert "duplicate field name: a0" in found
+    reported = "\n".join(error_lines(path))
+    assert "duplicate field name: a0" in reported
     result = CliRunner().invoke(app, ["check", str(path)])
-    assert result.exit_code == BAD and "duplicate field name: a0" in result.stderr
+    assert result.exit_code == REFUSED_EXIT_CODE and "duplicate field name: a0" in result.stderr
 
 
-def reasons_of_text(path: Path) -> list[str]:
+def error_lines(path: Path) -> list[str]:
+    """The lines of the error that loading the file raises."""
     with pytest.raises(ConfigError) as caught:
         load(path)
     return str(caught.value).splitlines()
 
 
-def test_a_whole_table_is_taken(tmp_path: Path) -> None:
+def test_a_complete_table_is_accepted(tmp_path: Path) -> None:
     config = load_router(write(tmp_path, router_file()))
     assert config.fleet is not None
     assert config.fleet.zones() == {"north": ["a0", "a1"], "south": ["a2", "a3"]}
@@ -216,7 +221,7 @@
     assert longest is not None and longest.granted_sub_lease == 9.0
 
 
-def test_without_aggregators_nothing_has_changed(tmp_path: Path) -> None:
+def test_a_fleet_without_aggregators_needs_no_zone_or_sub_lease(tmp_path: Path) -> None:
     fleet = {"name": "game", "voters": {"v0": "10.0.0.1:7000"}}
     config = load_router(write(tmp_path, router_file(fleet=fleet)))
     assert config.fleet is not None
@@ -232,20 +237,21 @@
     load_router(write(tmp_path, router_file(name="v1", fleet={**fleet, "folder": "v1.state"})))
 
 
-def test_a_router_has_not_the_name_of_an_aggregator(tmp_path: Path) -> None:
-    """The file may be checked, as an aggregator runs from it; a router may not."""
+def test_a_router_may_not_have_the_name_of_an_aggregator(tmp_path: Path) -> None:
+    """`check` accepts such a file, as an aggregator runs from it; `router` refuses it."""
     path = write(tmp_path, router_file(name="a2"))
     load(path)
     expected = "$.name: 'a2' is an aggregator of this fleet, which `banklift aggregator` runs"
     assert reasons(path, load_router) == [expected]
     result = CliRunner().invoke(app, ["router", "--config", str(path)])
-    assert result.exit_code == BAD and result.stderr == f"{path}: {expected}\n"
+    assert result.exit_code == REFUSED_EXIT_CODE and result.stderr == f"{path}: {expected}\n"
 
 
 # ---- warnings
 
 
-WARNINGS: dict[str, tuple[Spoil, list[str]]] = {
+# changes to a table that is accepted, and the warnings printed
+WARNINGS: dict[str, tuple[Change, list[str]]] = {
     "an aggregator that is also a voter": (
         lambda fleet: fleet["voters"].update(a0="10.0.0.4:7000", v4="10.0.0.5:7000"),
         [
@@ -265,10 +271,12 @@
 WARNING_IDS = [name.replace(" ", "-") for name in WARNINGS]
 
 
-@pytest.mark.parametrize(("spoil", "expected"), WARNINGS.values(), ids=WARNING_IDS)
-def test_what_is_allowed_and_said(tmp_path: Path, spoil: Spoil, expected: list[str]) -> None:
+@pytest.mark.parametrize(("change", "expected"), WARNINGS.values(), ids=WARNING_IDS)
+def test_a_warning_is_printed_and_the_file_accepted(
+    tmp_path: Path, change: Change, expected: list[str]
+) -> None:
     fleet = fleet_table()
-    spoil(fleet)
+    change(fleet)
     path = write(tmp_path, router_file(fleet=fleet))
     assert warnings(load_router(path)) == expected
     result = CliRunner().invoke(app, ["check", str(path)])
@@ -300,8 +308,9 @@
 
 
 NO_AGGREGATOR = "$.name: 'r7' is not an aggregator of this fleet; its aggregators: 'a0', 'a1', 'a2', 'a3'"
-DIRECT = {"name": "game", "voters": {"v0": "10.0.0.1:7000"}}
-AGGREGATOR_FAULTS: dict[str, tuple[Doc, list[str]]] = {
+FLEET_WITHOUT_AGGREGATORS = {"name": "game", "voters": {"v0": "10.0.0.1:7000"}}
+# files and the reasons that `banklift aggregator` refuses them for
+AGGREGATOR_FAULTS: dict[str, tuple[Document, list[str]]] = {
     "an unknown aggregator": (router_file(), [NO_AGGREGATOR]),
     "an unknown aggregator, small file": ({"name": "r7", "fleet": fleet_table()}, [NO_AGGREGATOR]),
     "an unknown aggregator and more": (
@@ -311,9 +320,12 @@
             NO_AGGREGATOR,
         ],
     ),
-    "no aggregators": (router_file(fleet=DIRECT), ["$.fleet.aggregators: this fleet has none"]),
+    "no aggregators": (
+        router_file(fleet=FLEET_WITHOUT_AGGREGATORS),
+        ["$.fleet.aggregators: this fleet has none"],
+    ),
     "no aggregators, small file": (
-        {"name": "a0", "fleet": DIRECT},
+        {"name": "a0", "fleet": FLEET_WITHOUT_AGGREGATORS},
         ["$.fleet.aggregators: this fleet has none"],
     ),
     "no fleet": (router_file(fleet=None), ["$.fleet: this file has no fleet"]),
@@ -334,33 +346,36 @@
 AGGREGATOR_FAULT_IDS = [name.replace(" ", "-") for name in AGGREGATOR_FAULTS]
 
 
-@pytest.mark.parametrize(("doc", "expected"), AGGREGATOR_FAULTS.values(), ids=AGGREGATOR_FAULT_IDS)
-def test_an_aggregators_file_is_refused(tmp_path: Path, doc: Doc, expected: list[str]) -> None:
-    path = write(tmp_path, doc)
+@pytest.mark.parametrize(("document", "expected"), AGGREGATOR_FAULTS.values(), ids=AGGREGATOR_FAULT_IDS)
+def test_a_file_that_no_aggregator_can_run_from_is_refused(
+    tmp_path: Path, document: Document, expected: list[str]
+) -> None:
+    path = write(tmp_path, document)
     assert reasons(path, load_aggregator) == expected
-    aggregator_ends(path, expected)
+    assert_aggregator_refuses(path, expected)
 
 
-def aggregator_ends(path: Path, expected: list[str]) -> None:
-    """`banklift aggregator` refuses the file for these reasons."""
+def assert_aggregator_refuses(path: Path, expected: list[str]) -> None:
+    """Checks that `banklift aggregator` refuses the file for these reasons."""
     result = CliRunner().invoke(app, ["aggregator", "--config", str(path)])
-    assert result.exit_code == BAD
+    assert result.exit_code == REFUSED_EXIT_CODE
     assert result.stderr.splitlines() == [f"{path}: {reason}" for reason in expected]
 
 
-@pytest.mark.parametrize(("spoil", "expected"), FAULTS.values(), ids=FAULT_IDS)
-def test_a_fault_is_refused_by_the_aggregator_too(tmp_path: Path, spoil: Spoil, expected: list[str]) -> None:
-    """The same faults and words as at a router; only what an aggregator has no use for is not asked of it."""
+@pytest.mark.parametrize(("change", "expected"), FAULTS.values(), ids=FAULT_IDS)
+def test_an_aggregator_refuses_the_same_faults_as_a_router(
+    tmp_path: Path, change: Change, expected: list[str]
+) -> None:
+    """The reasons are those of a router, except that an aggregator needs no zone for itself."""
     fleet = fleet_table()
-    spoil(fleet)
-    has_none = "aggregators" not in fleet
-    wanted = [text for text in expected if "is missing: 'r7'" not in text]
-    if has_none:
-        wanted.append("$.fleet.aggregators: this fleet has none")
-    for doc in ({"name": "a0", "fleet": fleet}, router_file(name="a0", fleet=fleet)):
-        path = write(tmp_path, doc)
-        if wanted:
-            assert reasons(path, load_aggregator) == wanted
-            aggregator_ends(path, wanted)
+    change(fleet)
+    expected_here = [text for text in expected if "is missing: 'r7'" not in text]
+    if "aggregators" not in fleet:
+        expected_here.append("$.fleet.aggregators: this fleet has none")
+    for document in ({"name": "a0", "fleet": fleet}, router_file(name="a0", fleet=fleet)):
+        path = write(tmp_path, document)
+        if expected_here:
+            assert reasons(path, load_aggregator) == expected_here
+            assert_aggregator_refuses(path, expected_here)
         else:
             assert load_aggregator(path).name == "a0"
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,4 @@
-"""Whatever a client sends, the front answers each command once, in order, and never breaks."""
+"""The RESP front: it gives every command exactly one reply, in order, and survives any bytes that a client sends."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from banklift.resp.frames import Scanner, command
 from tests.test_machine import Rig, info, role
 
-WORDS = st.one_of(
+ARGUMENTS = st.one_of(
     st.sampled_from(
         [
             *COMMANDS,
@@ -39,68 +39,73 @@
 )
 
 
-def pump(rig: Rig) -> None:
-    """Members answer everything that they were sent."""
+def answer_members(rig: Rig) -> None:
+    """Lets members answer everything that they were sent, and links come up."""
     for _ in range(50):
-        busy = False
+        progressed = False
         for link, address in list(rig.links.items()):
             if link in rig.probing or link in rig.closed:
                 continue
             state = rig.machine.links.get(link)
             if state is not None and not state.up:
                 rig.tell(ev.LinkUp(link))
-                busy = True
+                progressed = True
             data = rig.sent.pop(link, b"")
             if data:
-                busy = True
-                rig.tell(ev.LinkData(link, answers(data, address)))
-        if not busy:
+                progressed = True
+                rig.tell(ev.LinkData(link, replies_of_member(data, address)))
+        if not progressed:
             return
 
 
-def answers(data: bytes, address: str) -> bytes:
-    scanner, out, queued = Scanner(1 << 20), b"", False
+def replies_of_member(data: bytes, address: str) -> bytes:
+    """What the member at this address answers to these commands; `p:1` is the primary."""
+    scanner = Scanner(1 << 20)
+    out = b""
+    queued = False  # between MULTI and EXEC
     for frame in scanner.feed(data):
         if b"\r\nROLE\r\n" in frame and frame.startswith(b"*1"):
             out += role(10) if address == "p:1" else info(False, 10)
         elif frame.startswith(b"*2\r\n$4\r\nINFO"):
             out += info(address == "p:1", 10)
         elif frame.startswith(b"*1\r\n$5\r\nMULTI"):
-            queued, out = True, out + b"+OK\r\n"
+            queued = True
+            out += b"+OK\r\n"
         elif frame.startswith(b"*1\r\n$4\r\nEXEC"):
-            queued, out = False, out + b"*0\r\n"
+            queued = False
+            out += b"*0\r\n"
         else:
             out += b"+QUEUED\r\n" if queued else b"+OK\r\n"
     return out
 
 
-@given(st.lists(st.lists(WORDS, min_size=1, max_size=5), min_size=1, max_size=12), st.integers(1, 64))
+@given(st.lists(st.lists(ARGUMENTS, min_size=1, max_size=5), min_size=1, max_size=12), st.integers(1, 64))
 @settings(max_examples=300)
-def test_each_command_has_one_answer(commands: list[list[bytes]], size: int) -> None:
+def test_every_command_gets_exactly_one_reply(commands: list[list[bytes]], size: int) -> None:
     rig = Rig()
     stream = b"".join(command(*args) for args in commands)
-    for place in range(0, len(stream), size):
-        rig.tell(ev.ClientData(1, stream[place : place + size]))
-        pump(rig)
+    for start in range(0, len(stream), size):
+        rig.tell(ev.ClientData(1, stream[start : start + size]))
+        answer_members(rig)
     rig.wait(3.0)
-    pump(rig)
+    answer_members(rig)
     rig.wait(3.0)
-    got = Scanner(1 << 20).feed(rig.answers.get(1, b""))
-    quits = [place for place, args in enumerate(commands) if args[0].upper() == b"QUIT"]
-    wanted = quits[0] + 1 if quits else len(commands)
-    if not any(args[0].upper() == b"WAIT" for args in commands):  # which may wait for ever, as asked
-        assert len(got) == wanted
-    assert len(got) <= wanted
+    replies = Scanner(1 << 20).feed(rig.answers.get(1, b""))
+    quits = [index for index, args in enumerate(commands) if args[0].upper() == b"QUIT"]
+    expected = quits[0] + 1 if quits else len(commands)
+    if not any(args[0].upper() == b"WAIT" for args in commands):  # may wait without end, as its client asked
+        assert len(replies) == expected
+    assert len(replies) <= expected
 
 
 @given(st.binary(max_size=200), st.integers(1, 50))
 @settings(max_examples=300)
-def test_no_bytes_break_it(data: bytes, size: int) -> None:
+def test_random_bytes_end_with_a_closed_connection(data: bytes, size: int) -> None:
     rig = Rig()
-    for place in range(0, len(data), size):
-        rig.tell(ev.ClientData(1, data[place : place + size]))
-        pump(rig)
+    for start in range(0, len(data), size):
+        rig.tell(ev.ClientData(1, data[start : start + size]))
+        answer_members(rig)
     rig.tell(ev.ClientEof(1))
     rig.wait(3.0)
-    pump(rig)
+    answer_members(rig)
     assert rig.closed_clients == [1]
--- a/tests/test_resp_frames.py
+++ b/tests/test_resp_frames.py
@@ -1,4 +1,4 @@
-"""The codec: frames keep their bytes however they are cut, and broken ones are refused with Redis's words."""
+"""RESP framing: frames and commands are found however the stream is cut, and broken ones are refused as Redis does."""
 
 from __future__ import annotations
 
@@ -39,8 +39,10 @@
 
 @given(st.lists(st.sampled_from(FRAMES), max_size=8), st.lists(st.integers(1, 40), max_size=40))
 @settings(max_examples=200)
-def test_frames_are_found_whatever_the_cuts(frames: list[bytes], cuts: list[int]) -> None:
-    stream, scanner, found = b"".join(frames), Scanner(1000), []
+def test_frames_are_found_however_the_stream_is_cut(frames: list[bytes], cuts: list[int]) -> None:
+    stream = b"".join(frames)
+    scanner = Scanner(1000)
+    found = []
     for size in [*cuts, len(stream) + 1]:
         found += scanner.feed(stream[:size])
         stream = stream[size:]
@@ -61,7 +63,7 @@
         scanner.feed(b"$101\r\n")
 
 
-def test_nesting_has_a_bound() -> None:
+def test_a_frame_nested_too_deeply_is_refused() -> None:
     with pytest.raises(ProtocolError, match="deep"):
         Scanner(1 << 20).feed(b"*1\r\n" * 600)
 
@@ -71,9 +73,10 @@
     st.lists(st.integers(1, 30), max_size=40),
 )
 @settings(max_examples=200)
-def test_commands_are_read_whatever_the_cuts(commands: list[list[bytes]], cuts: list[int]) -> None:
+def test_commands_are_read_however_the_stream_is_cut(commands: list[list[bytes]], cuts: list[int]) -> None:
     stream = b"".join(command(*args) for args in commands)
-    reader, found = CommandReader(1000), []
+    reader = CommandReader(1000)
+    found = []
     for size in [*cuts, len(stream) + 1]:
         reader.feed(stream[:size])
         stream = stream[size:]
@@ -96,7 +99,7 @@
         (b'GET "a\r\n', "unbalanced quotes in request"),
     ],
 )
-def test_broken_commands_are_refused_as_redis_does(sent: bytes, text: str) -> None:
+def test_broken_commands_are_refused_with_the_texts_of_redis(sent: bytes, text: str) -> None:
     reader = CommandReader(1000)
     reader.feed(sent)
     with pytest.raises(ProtocolError) as caught:
@@ -104,20 +107,20 @@
     assert str(caught.value) == text
 
 
-def test_inline_commands() -> None:
+def test_inline_commands_and_their_quotes_are_read() -> None:
     reader = CommandReader(1000)
     reader.feed(b'\r\nPING\r\nSET a "b \\x41\\n"\n*1\r\n$4\r\nPING\r\n')
     assert [reader.next() for _ in range(4)] == [[b"PING"], [b"SET", b"a", b"b A\n"], [b"PING"], None]
     assert split_inline(b"a 'b c' \"\"") == [b"a", b"b c", b""]
 
 
-def test_answers_differ_by_protocol() -> None:
+def test_replies_are_encoded_by_protocol_version() -> None:
     value = {"a": None, "b": [True, 1]}
     assert encode(value, 3) == b"%2\r\n$1\r\na\r\n_\r\n$1\r\nb\r\n*2\r\n#t\r\n:1\r\n"
     assert encode(value, 2) == b"*4\r\n$1\r\na\r\n$-1\r\n$1\r\nb\r\n*2\r\n:1\r\n:1\r\n"
 
 
-def test_slots_of_the_cluster_specification() -> None:
-    assert slot(b"123456789") == 0x31C3  # the specification's own example
+def test_hash_slots_follow_the_cluster_specification() -> None:
+    assert slot(b"123456789") == 0x31C3  # the example of the specification
     assert slot(b"{user1000}.following") == slot(b"{user1000}.followers")
     assert slot(b"foo{}{bar}") == slot(b"foo{}{bar}") != slot(b"bar")
