--- a/banklift/config/check.py
+++ b/banklift/config/check.py
@@ -29,7 +29,7 @@
 
 
 def _check_classes(classes: list[Class]) -> list[str]:
-    """Whether names are unique, and times and bounds fit each class's effect and need."""
+    """Checks whether names are unique, and times and bounds fit each class's effect and need."""
     problems: list[str] = []
     names: set[str] = set()
     for index, definition in enumerate(classes):
@@ -49,7 +49,7 @@
 
 
 def _check_routes(config: Config) -> list[str]:
-    """Whether every class that is named exists, and the default class of writes is one."""
+    """Checks whether every class that is named exists, and the default class of writes is one."""
     needs = {definition.name: definition.need for definition in config.classes}
     references = [("$.default_read", config.default_read), ("$.default_write", config.default_write)]
     references += [(f"$.routes[{index}].to", route.to) for index, route in enumerate(config.routes)]
@@ -60,7 +60,7 @@
 
 
 def _check_router(config: Config) -> list[str]:
-    """Whether the mode of sessions and the listening address are valid."""
+    """Checks whether the mode of sessions and the listening address are valid."""
     problems: list[str] = []
     if config.sessions not in SESSION_MODES:
         problems.append("$.sessions: must be 'roaming' or 'connection'")
@@ -72,6 +72,6 @@
 
 
 def _check_users(config: Config) -> list[str]:
-    """Whether names of users are unique."""
+    """Checks whether names of users are unique."""
     users = [user.name for user in config.users]
     return ["$.users: a name occurs twice"] if len(set(users)) < len(users) else []
--- a/banklift/config/fleet.py
+++ b/banklift/config/fleet.py
@@ -74,7 +74,7 @@
 
 
 def _check_voters(fleet: Fleet) -> list[str]:
-    """Whether the voters' addresses are valid and differ."""
+    """Checks whether the voters' addresses are valid and differ."""
     problems: list[str] = []
     owners: dict[str, str] = {}
     for name, address in fleet.voters.items():
@@ -87,7 +87,7 @@
 
 
 def _check_own_listener(name: str, fleet: Fleet) -> list[str]:
-    """Whether the listening address is valid, and a voter has a folder."""
+    """Checks whether the listening address is valid, and a voter has a folder."""
     problems = [] if fleet.listen is None else _check_address("$.fleet.listen", fleet.listen)
     if name in fleet.voters and fleet.folder is None:
         problems.append(f"$.fleet.folder: {name!r} is a voter, which needs a folder for its state")
@@ -95,7 +95,7 @@
 
 
 def _check_aggregators(fleet: Fleet) -> list[str]:
-    """Whether the aggregators' addresses are valid, have a port, and are used once."""
+    """Checks whether the aggregators' addresses are valid, have a port, and are used once."""
     problems: list[str] = []
     owners = {address: f"voter {name!r}" for name, address in fleet.voters.items()}
     for name, aggregator in fleet.aggregators.items():
@@ -113,7 +113,7 @@
 
 
 def _check_standbys(fleet: Fleet) -> list[str]:
-    """Whether the aggregators of a zone run on more than one machine."""
+    """Checks whether the aggregators of a zone run on more than one machine."""
     problems: list[str] = []
     for zone, names in fleet.zones().items():
         machines = {machine_of(fleet, name) for name in names}
@@ -126,7 +126,7 @@
 
 
 def _check_zone(name: str, fleet: Fleet) -> list[str]:
-    """Whether a router without a vote has a zone, and that zone has aggregators."""
+    """Checks whether a router without a vote has a zone, and that zone has aggregators."""
     if not fleet.aggregators:
         return [] if fleet.zone is None else ["$.fleet.zone: there are no aggregators to choose from"]
     zones = fleet.zones()
@@ -140,7 +140,7 @@
 
 
 def _check_sub_lease(fleet: Fleet) -> list[str]:
-    """Whether a sub-lease has someone to grant it, and ends within the lease."""
+    """Checks whether a sub-lease has someone to grant it, and ends within the lease."""
     if fleet.sub_lease is None:
         return []
     if not fleet.aggregators:
@@ -154,7 +154,7 @@
 
 
 def _check_address(where: str, address: str) -> list[str]:
-    """Whether an address is host:port."""
+    """Checks whether an address is host:port."""
     try:
         split_address(address)
     except ValueError as error:
--- a/banklift/config/groups.py
+++ b/banklift/config/groups.py
@@ -46,7 +46,7 @@
             self._member(f"{where}.members[{index}]", member)
 
     def _slots(self, where: str, group: Group) -> None:
-        """Whether the slots are in range and belong to no other group."""
+        """Checks whether the slots are in range and belong to no other group."""
         for first, last in group.slots:
             if not 0 <= first <= last < SLOT_COUNT:
                 self.problems.append(
@@ -62,7 +62,7 @@
                 self.slot_owners[slot] = group.name
 
     def _prefixes(self, where: str, group: Group) -> None:
-        """Whether the prefixes belong to no other group."""
+        """Checks whether the prefixes belong to no other group."""
         for prefix in group.prefixes:
             if prefix in self.prefix_owners:
                 self.problems.append(
@@ -71,7 +71,7 @@
             self.prefix_owners[prefix] = group.name
 
     def _member(self, where: str, member: Member) -> None:
-        """Whether a member's state and address are valid, and its name and address are its own."""
+        """Checks whether a member's state and address are valid, and its name and address are its own."""
         if member.state not in MEMBER_STATES:
             self.problems.append(f"{where}.state: {member.state!r} is not one of {', '.join(MEMBER_STATES)}")
         if member.name in self.member_names:
--- a/banklift/config/policy.py
+++ b/banklift/config/policy.py
@@ -31,7 +31,7 @@
 
 
 class Policy(Strict, kw_only=True, frozen=True):
-    """The keys of the operator's file that a policy has; they mean the same there (proxy/plan.py)."""
+    """The keys of a policy; they have the same meaning in the operator's file (proxy/plan.py)."""
 
     classes: list[Class]
     routes: list[Route] = msgspec.field(default_factory=list)
@@ -46,9 +46,9 @@
 
 
 def encode(policy: Policy) -> bytes:
-    """The canonical JSON of a policy: sorted keys, without those that have their default.
+    """The canonical JSON of a policy, by which all routers know it: equal policies have equal bytes.
 
-    Equal policies have equal bytes, so all routers know a policy by them.
+    Keys are sorted. Left out are empty lists, and limits and rules that have their default.
     """
     raw = msgspec.to_builtins(policy)
     for name, default in (("limits", Limits()), ("rules", Rules())):
--- a/banklift/resp/proofs.py
+++ b/banklift/resp/proofs.py
@@ -7,8 +7,7 @@
   command, so that the mark it leaves includes the write. A read of need `any` needs no proof and asks nothing.
 - The first exchange of a link asks for the replication history too. A restart of the member ends its links, so nothing
   known about the member outlives the data it was reported for.
-- A read whose own proof doesn't reach the floor that it needs is not passed on to the client; the balancer is told of a
-  miss.
+- A read whose own proof doesn't reach the floor that it needs is not passed on to the client, and counts as a miss.
 - The status that comes with a write, a session read or a fresh read leaves a mark with the session (`Served.seen`). The
   reads of the session must cover all its marks: they see the session's writes and never go back behind its reads. Such
   a read asks for the member's status after its command too, as the command may show what was written while it waited.
@@ -95,7 +94,7 @@
         if result.standing is not None:
             fact = self.learn(node, result.standing, attempt.asked, None)
         if status is Status.MISS and writes and fact.primary is None:
-            fact = Fact(primary=False)  # -READONLY tells that it is no primary
+            fact = Fact(primary=False)  # -READONLY means that the member is no primary
         served = None
         if status is Status.OK:
             if not writes and not self.proves(attempt, fact):
@@ -151,7 +150,7 @@
         return fact
 
     def early(self, attempt: Attempt) -> None:
-        """Reports a change of role as soon as the status ahead of a read tells it, as the answer may take longer."""
+        """Reports a change of role as soon as the status ahead of a read shows it, as the answer may take longer."""
         node = attempt.node
         reported = parse_replication_status(attempt.frames[0])
         if reported is None or attempt.open.ask.kind.need is Need.WRITE:
@@ -219,4 +218,5 @@
     def _report(
         self, node: Node, asked: float, primary: bool | None, position: float | None, load: float | None
     ) -> None:
+        """Reports a member's role, position and load (commands in flight there), as asked for at `asked`."""
         self.core.report(node, asked, io.Report(position, primary, load, None, asked))
--- a/banklift/resp/wire.py
+++ b/banklift/resp/wire.py
@@ -91,7 +91,7 @@
         return frame[:1] == b">"
 
     def probe(self) -> bytes:
-        """The command whose answer tells role, offset and history."""
+        """The command whose answer contains role, offset and history."""
         return INFO
 
     @property
@@ -230,9 +230,9 @@
         return None
 
     def _verdict(self, body: list[bytes], standing: Standing | None) -> Result:
-        """What the answers to MULTI, the commands and EXEC mean. `standing`: what the status command told."""
+        """What the answers to MULTI, the commands and EXEC mean. `standing`: the member's replication status, if known."""
         answer = body[-1]
-        # nothing ran; the error of a command that was not queued tells why, or else EXEC's own error does
+        # nothing ran; the error of a command that was not queued gives the reason, or else EXEC's own error does
         if answer.startswith(b"-EXECABORT"):
             errors = [frame for frame in body[:-1] if frame[:1] == b"-"]
             verdict = next((status(frame) for frame in errors if status(frame) is not Status.OK), Status.OK)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -362,7 +362,7 @@
                         await other.set("pick:1", "d")
 
             anyio.run(main)
-            # in the other group a write that is safe to repeat is never answered: TRYAGAIN too, with a text that says so
+            # in the other group a repeatable write is never answered: TRYAGAIN too, with a text that says so
             other = next(
                 host
                 for host in site.stand.nodes.values()
