--- a/banklift/resp/front.py
+++ b/banklift/resp/front.py
@@ -5,8 +5,8 @@
 - Every command of a connection has an entry in the connection's pipeline. Replies may become known in any order; they
   are sent only from the head of the pipeline. A connection whose pipeline is full is no longer read.
 - Commands of one connection to one group keep their order towards members as far as a client can observe it: a write
-  waits for all commands before it, a session or fresh read for the writes before it. A command never overtakes one that
-  waits in the same group.
+  waits for all commands before it, a session or fresh read for the writes before it, and any other read for neither.
+  But no command overtakes one that still waits in the same group.
 - Commands about the connection itself (HELLO, AUTH, MULTI and so on) are answered here; the others become requests of
   the core.
 - Since replies leave in order, a late one delays those behind it. When the time of a command is over, every command
--- a/banklift/resp/proofs.py
+++ b/banklift/resp/proofs.py
@@ -4,9 +4,10 @@
 
 - A member reports its replication offset only when asked. So an attempt asks the member for its replication status on
   the same link: a read before its command, so that the data read is at least as new as the status; a write after its
-  command, so that the mark it leaves includes the write. A read of need `any` needs no proof and asks nothing.
-- The first exchange of a link asks for the replication history too. A restart of the member ends its links, so nothing
-  known about the member outlives the data it was reported for.
+  command, so that the mark it leaves includes the write. A read of need `any` needs no proof and asks nothing more.
+- The first exchange of a link, and each while the member's replication history is not known, asks for the history too,
+  whatever the request. A restart of the member ends its links, so nothing known about the member outlives the data it
+  was reported for.
 - A read whose own proof doesn't reach the floor that it needs is not passed on to the client, and counts as a miss.
 - The status that comes with a write, a session read or a fresh read leaves a mark with the session (`Served.seen`). The
   reads of the session must cover all its marks: they see the session's writes and never go back behind its reads. Such
--- a/banklift/resp/wire.py
+++ b/banklift/resp/wire.py
@@ -7,9 +7,10 @@
 | read | `ROLE`, then the command |
 | read that leaves a session mark | `ROLE`, the command, `ROLE` |
 | write | the command, then `ROLE` |
-| read of need `any` on a link that was used before | the command alone |
+| read of need `any` | the command alone |
 
-On a link's first exchange `INFO replication` replaces the first `ROLE`, as it also names the replication history.
+On a link's first exchange, and while the member's replication history is not known, every request has a status command,
+and `INFO replication` replaces the first `ROLE`, as it also names the history.
 """
 
 from __future__ import annotations
@@ -230,7 +231,10 @@
         return None
 
     def _verdict(self, body: list[bytes], standing: Standing | None) -> Result:
-        """What the answers to MULTI, the commands and EXEC mean. `standing`: the member's replication status, if known."""
+        """What the answers to MULTI, the commands and EXEC mean.
+
+        `standing`: the member's replication status, if it was asked for and reported.
+        """
         answer = body[-1]
         # nothing ran; the error of a command that was not queued gives the reason, or else EXEC's own error does
         if answer.startswith(b"-EXECABORT"):
