--- a/banklift/fleet/aggregator.py
+++ b/banklift/fleet/aggregator.py
@@ -107,12 +107,12 @@
     ) -> tuple[LeaseGrant | None, list[Action]]:
         """A router asks for a sub-lease. No grant to a request that is late or came twice."""
         parent = self.parent
-        terms = Terms(parent.current(now), parent.coming(now), self.view)
+        terms = Terms(parent.current_window(now), parent.coming_window(now), self.view)
         given = self.table.request(now, name, incarnation, request, terms)
         grant = None
         if given is not None:
             epochs = [one.epoch if one is not None else 0 for one in (terms.current, terms.coming)]
-            digests = parent.epochs.get(epochs[0], ""), parent.epochs.get(epochs[1], "")
+            digests = parent.epoch_digests.get(epochs[0], ""), parent.epoch_digests.get(epochs[1], "")
             texts = self._lacking(request.have, {*digests, self.view.subject})
             grant = answer(request, given, self.view, digests, texts)
         return grant, self._advance(now, [])
@@ -204,10 +204,10 @@
 
     def _give_up_older(self, now: float) -> None:
         """Count the newest grants alone, once all sub-leases outstanding end within their windows."""
-        if not self.parent.counts_older:
+        if not self.parent.holds_older_grants:
             return
         beyond = any(
-            self.table.latest_end(epoch) > self.parent.end_of(epoch)
+            self.table.latest_end(epoch) > self.parent.window_end(epoch)
             for epoch in self.table.epochs_outstanding(now)
         )
         if beyond:
@@ -215,18 +215,18 @@
                 self.closing = True
                 self.actions.append(AnnounceRenewal())
             return
-        self.parent.count_newest()
+        self.parent.drop_older_grants()
         if self.closing:
             self.closing = False
             self.actions += self.parent.request_all(now)
 
     def _announce_windows(self, now: float) -> None:
         """Have routers ask again when the next epoch's begin is known, or when there is a lease at all again."""
-        coming = self.parent.coming(now)
+        coming = self.parent.coming_window(now)
         if coming is not None and coming.epoch > self.announced_epoch:
             self.announced_epoch = coming.epoch
             self.actions.append(AnnounceRenewal())
-        has_lease = self.parent.current(now) is not None or coming is not None
+        has_lease = self.parent.current_window(now) is not None or coming is not None
         if has_lease and not self.had_lease:
             self.actions.append(AnnounceRenewal(everyone=True))
         self.had_lease = has_lease
--- a/banklift/fleet/aggregator_node.py
+++ b/banklift/fleet/aggregator_node.py
@@ -90,11 +90,11 @@
     def _trouble(self) -> list[Trouble]:
         parent = self.aggregator.parent
         found = [
-            Trouble(name, grantor.reason or "no link")
+            Trouble(name, grantor.refusal_reason or "no link")
             for name, grantor in parent.grantors.items()
-            if grantor.reason or not grantor.linked
+            if grantor.refusal_reason or not grantor.linked
         ]
-        if parent.current(self.now) is None:
+        if parent.current_window(self.now) is None:
             found.append(Trouble(self.plan.name, "no lease of a majority of voters"))
         return found
 
--- a/banklift/fleet/holder.py
+++ b/banklift/fleet/holder.py
@@ -1,20 +1,26 @@
-"""What routers and aggregators share as holders of leases: requests, retries, grants that are counted. Pure.
+"""The client side of leases, shared by routers and aggregators: requests, retries and the grants that are held.
 
-A holder asks its grantors for leases, each over its own link, again and again. Times are the holder's own
-clock. A grant counts from when it was asked for, and ends `drift` of its length earlier than was said, as this
-clock may run slow; a lease on the next epoch begins `drift` later than was said after the answer came, as this
-clock may run fast.
+A holder requests leases from its grantors, each over a link of its own, and renews them for as long as it runs.
+This module does no I/O. All times are seconds on the holder's own clock, which may run up to `drift` (a fraction)
+faster or slower than the grantor's clock. Both directions of that error are allowed for:
 
-| state of a grantor | event | next | what is sent |
+- A grant is counted from the moment when its request was sent, and it ends `drift` of its length earlier than the
+  grantor said, because the holder's clock may run slow.
+- A lease on the next epoch is counted from the moment when the answer arrived, and it begins `drift` later than the
+  grantor said, because the holder's clock may run fast.
+
+States of one grantor, as the holder sees it:
+
+| state | event | next state | what is sent |
 | --- | --- | --- | --- |
-| no link | link up | waiting for an answer | a request |
-| answered | `due`, or `RenewNow` | waiting for an answer | a request |
-| waiting | the answer | answered, due after a third of what it gave, or after half if that is short | - |
-| waiting | `due` without an answer | waiting | another request, after pauses that double |
-| waiting | no answer for `stall_time`, then for twice as long | no link | `Stalled`: the link is made anew |
-| any | link down | no link; what it granted goes on | - |
-
-An answer that is late, doubled, or of an earlier link belongs to no request that is open, and is dropped.
+| no link | the link is up | waiting | a request |
+| answered | the renewal is due, or `RenewNow` came | waiting | a request |
+| waiting | the answer came | answered; the renewal is due after a third of the grant, or half of a short one | - |
+| waiting | the request is due again without an answer | waiting | another request, with exponential back-off |
+| waiting | no answer for `stall_time`, twice as long the next time | no link | `Stalled`: the link is made again |
+| any | the link is down | no link; what the grantor granted stays valid | - |
+
+An answer that is late, duplicated, or belongs to an earlier link matches no pending request and is dropped.
 """
 
 from __future__ import annotations
@@ -26,28 +32,37 @@
 from banklift.fleet.actions import LogLine
 from banklift.fleet.messages import LeaseGrant, LeaseRelease, LeaseRequest, RenewNow
 
-RENEW_PART = 1 / 3  # of what a grant gave: when the next one is asked for
-SHORT_RENEW_PART = (
-    1 / 2
-)  # ... of a short one, which all holders get at one moment, so that renewals are a burst
-SHORT_PART = 1 / 2  # of a lease: a grant that gives less is short
-RENEW_FLOOR = 1 / 50  # of a lease: the least that is waited for, as what is left of a lease gets shorter
-RETRY_PART = 1 / 20  # of a lease: how long to wait after a refusal before asking again
-STALLED_PART = 1 / 4  # of a lease: without an answer for that long the link counts as stalled, but ...
-STALLED_FLOOR = (
-    1.0  # seconds: ... an answer may take so long where thousands of holders ask at one moment, and ...
-)
-MAX_STALLED_PART = 0.4  # of a lease: ... with RENEW_PART it leaves time for another grantor to answer
-RESEND_PART = 1 / 2  # of the time until a link counts as stalled: until an unanswered request is sent again
-MAX_DOUBLINGS = 3  # of the pause before a retry
-MAX_STALL_DOUBLINGS = (
-    2  # of the time until a link counts as stalled: new links are more work for who is overloaded
-)
+# Fraction of a grant's length after which it is renewed.
+RENEWAL_FRACTION = 1 / 3
+# The same for a short grant. All holders get short grants at one moment, so their renewals come in bursts.
+SHORT_GRANT_RENEWAL_FRACTION = 1 / 2
+# A grant counts as short if it lasts for no more than this fraction of a lease.
+SHORT_GRANT_FRACTION = 1 / 2
+# Shortest wait before a renewal, as a fraction of a lease. Before an epoch ends each grant gives only what is left
+# of it, so waits that depend on the grant alone would shrink towards zero.
+MIN_RENEWAL_WAIT_FRACTION = 1 / 50
+# First wait after a refusal before the next request, as a fraction of a lease.
+RETRY_PART = 1 / 20
+# A link counts as stalled when a request has had no answer for this fraction of a lease.
+STALL_TIME_FRACTION = 1 / 4
+# Shortest time after which a link counts as stalled: where thousands of holders send requests at one moment, an
+# answer may take as long.
+MIN_STALL_TIME_S = 1.0
+# Longest time after which a link counts as stalled, as a fraction of a lease: a renewal sent after
+# RENEWAL_FRACTION that gets no answer leaves time for another grantor to answer.
+MAX_STALL_TIME_FRACTION = 0.4
+# Fraction of the stall time after which an unanswered request is sent again.
+RESEND_FRACTION = 1 / 2
+# Limit of the exponential back-off between requests: the wait doubles at most this often.
+MAX_BACKOFF_DOUBLINGS = 3
+# Limit for the stall time: it doubles at most this often. It grows because making new links is more work for a
+# grantor that is overloaded already.
+MAX_STALL_TIME_DOUBLINGS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class SendToGrantor:
-    """Send it to a grantor."""
+    """Send `message` over the link to `grantor`."""
 
     grantor: str
     message: LeaseRequest | LeaseRelease
@@ -55,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EpochAdopted:
-    """From now on requests are taken under this policy."""
+    """The router serves `epoch` from now on: requests are handled under `policy`, its text."""
 
     epoch: int
     policy: bytes
@@ -63,8 +78,8 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseExtended:
-    """Requests may be taken up to that time, and no later unless told so. `retry_after`: seconds after which
-    it may be worth to come back, should it end."""
+    """The router may serve until `time`, and no longer unless a later action says so. `time` may be earlier than the
+    one before, also in the past. `retry_after`: seconds after which a client may try again if the lease ends."""
 
     time: float
     retry_after: float
@@ -72,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stalled:
-    """The link to this grantor delivers nothing: begin a new one."""
+    """The link to `grantor` delivers nothing: end it and make a new one."""
 
     grantor: str
 
@@ -81,195 +96,220 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CountedGrant:
-    """A grant on the holder's clock: `epoch` up to `until`, and `next_epoch` from `begin` up to `next_until`."""
+class HeldGrant:
+    """One grant in times of the holder's clock, corrected for drift.
+
+    `number`: of the request that it answers. The lease on `epoch` ends at `expires_at`, minus infinity if there is
+    none. The lease on `next_epoch`, 0 if there is none, lasts from `next_begins_at` until `next_expires_at`.
+    """
 
     number: int
     epoch: int
-    until: float
+    expires_at: float
     next_epoch: int
-    begin: float
-    next_until: float
+    next_begins_at: float
+    next_expires_at: float
 
     def covers(self, epoch: int, now: float) -> bool:
-        """Whether this epoch may be served now as far as its grantor is concerned."""
-        return self.end(epoch) > now and self.start(epoch) <= now
+        """Whether this grant is a lease on `epoch` that holds at `now`."""
+        return self.end_of(epoch) > now and self.start_of(epoch) <= now
 
-    def start(self, epoch: int) -> float:
-        if self.epoch == epoch and self.until > -math.inf:
+    def start_of(self, epoch: int) -> float:
+        """When the lease on `epoch` begins: minus infinity if it has begun, infinity if there is none."""
+        if self.epoch == epoch and self.expires_at > -math.inf:
             return -math.inf
-        return self.begin if self.next_epoch == epoch else math.inf
+        return self.next_begins_at if self.next_epoch == epoch else math.inf
 
-    def end(self, epoch: int) -> float:
-        if self.epoch == epoch and self.until > -math.inf:
-            return self.until
-        return self.next_until if self.next_epoch == epoch else -math.inf
+    def end_of(self, epoch: int) -> float:
+        """When the lease on `epoch` ends; minus infinity if there is none."""
+        if self.epoch == epoch and self.expires_at > -math.inf:
+            return self.expires_at
+        return self.next_expires_at if self.next_epoch == epoch else -math.inf
 
 
-NO_GRANT = CountedGrant(0, 0, -math.inf, 0, math.inf, -math.inf)
+NO_GRANT = HeldGrant(0, 0, -math.inf, 0, math.inf, -math.inf)
 
 
 @dataclass(slots=True, eq=False)
 class Grantor:
-    """What one grantor has granted, and what it was asked."""
+    """What the holder knows of one grantor: its link, its newest grant and the requests to it."""
 
     linked: bool = False
-    newest: CountedGrant = NO_GRANT
-    counted_from: int = 0  # number of the oldest grant that is counted
-    pending: dict[int, float] = field(
-        default_factory=dict
-    )  # requests without an answer, the oldest first: sent when
-    retries: int = 0
+    newest_grant: HeldGrant = NO_GRANT
+    oldest_held: int = 0  # number of the oldest grant of this grantor that the holder still relies on
+    # When each unanswered request was sent, by its number; the oldest request comes first.
+    pending: dict[int, float] = field(default_factory=dict)
+    retries: int = 0  # requests in a row that were sent again for lack of an answer
     refusals: int = 0  # answers in a row that gave no lease
     stalls: int = 0  # links in a row that delivered no answer
-    due: float = math.inf  # when it is asked again
-    heard: float = -math.inf  # its last answer, or when its link came up
-    reason: str = ""  # it gave for no lease
-    change: str = ""  # that it wants checked, as grantors may know of different ones for a while ...
-    subject: str = ""  # ... and its policy's digest
+    due: float = math.inf  # when the next request is sent
+    last_heard: float = -math.inf  # when its last message came, or its link came up
+    refusal_reason: str = ""  # why its last answer gave no lease; empty if it gave one
+    # Id of the change whose policy it asked to have checked. Grantors may know of different changes for a while.
+    change_id: str = ""
+    change_digest: str = ""  # digest of the policy of that change
 
 
 class LeaseHolder:
-    """Asks `grantors` for leases of `lease` seconds; a subclass says what to do with them."""
+    """Requests leases from `grantors` and renews them; subclasses decide what the leases are used for.
+
+    `lease`: seconds that a lease lasts at rest. `drift`: bound on the relative rate of two clocks, a fraction.
+    Each event method takes the time of the event and returns the actions to perform, in order.
+    """
 
     def __init__(self, grantors: tuple[str, ...], lease: float, drift: float, random: Random) -> None:
         self.grantors = {name: Grantor() for name in grantors}
-        self.lease, self.drift, self.random = lease, drift, random
-        self.stall_time = min(max(STALLED_PART * lease, STALLED_FLOOR), MAX_STALLED_PART * lease)
-        self.numbers = 0
+        self.lease = lease
+        self.drift = drift
+        self.random = random
+        self.stall_time = min(
+            max(STALL_TIME_FRACTION * lease, MIN_STALL_TIME_S), MAX_STALL_TIME_FRACTION * lease
+        )
+        self.numbers = 0  # number of the last request, to whichever grantor
         self.actions: list[Action] = []
 
-    # ---- for subclasses
+    # ---- hooks for subclasses
 
-    def _request(self, number: int, grantor: Grantor) -> LeaseRequest:
-        """The request that is sent now."""
+    def _build_request(self, number: int, grantor: Grantor) -> LeaseRequest:
+        """The request with this number to this grantor, as it is sent now."""
         raise NotImplementedError
 
-    def _granted(self, now: float, name: str, before: CountedGrant, grant: LeaseGrant) -> None:
-        """An answer was taken over; `before`: what its grantor had granted last."""
+    def _answer_recorded(self, now: float, name: str, previous: HeldGrant, grant: LeaseGrant) -> None:
+        """Act on an answer that was recorded in its `Grantor`. `previous`: that grantor's newest grant before."""
         raise NotImplementedError
 
-    def _told(self, grantor: Grantor, news: RenewNow) -> bool:
-        """Take over what the grantor tells of a change. Whether it has to be answered."""
+    def _news_received(self, grantor: Grantor, news: RenewNow) -> bool:
+        """Record what a grantor says about a change. Returns whether a request has to tell it the verdict."""
         return False
 
-    def _is_asked(self, name: str) -> bool:
-        """Whether this grantor is asked for leases without being told to."""
+    def _requests_from(self, name: str) -> bool:
+        """Whether this grantor is asked for leases when its link comes up and when a renewal is due."""
         return True
 
-    def _out(self, now: float) -> list[Action]:
-        """Actions that follow from all that has happened."""
+    def _take_actions(self, now: float) -> list[Action]:
+        """Return the actions that have gathered, and start over with none."""
         done, self.actions = self.actions, []
         return done
 
     # ---- events
 
     def up(self, now: float, name: str) -> list[Action]:
-        """The link to a grantor is up."""
+        """The link to the grantor `name` is up."""
         grantor = self.grantors[name]
-        grantor.linked, grantor.heard, grantor.retries = True, now, 0
+        grantor.linked = True
+        grantor.last_heard = now
+        grantor.retries = 0
         grantor.pending.clear()
-        if self._is_asked(name):
+        if self._requests_from(name):
             self._send_request(now, name)
-        return self._out(now)
+        return self._take_actions(now)
 
     def down(self, now: float, name: str) -> list[Action]:
-        """The link to a grantor is down."""
-        self._unlink(name)
-        return self._out(now)
+        """The link to the grantor `name` is down. What it granted stays valid until it ends."""
+        self._mark_unlinked(name)
+        return self._take_actions(now)
 
     def renew_now(self, now: float, name: str, news: RenewNow) -> list[Action]:
-        """The grantor has news. A request that is under way will bring them: links deliver in order."""
+        """The grantor asks for a new request, as something has changed.
+
+        If a request is pending already, its answer will bring the change, as links deliver in order.
+        """
         grantor = self.grantors[name]
-        grantor.heard = now
-        if self._told(grantor, news) or not grantor.pending:
+        grantor.last_heard = now
+        if self._news_received(grantor, news) or not grantor.pending:
             self._send_request(now, name)
-        return self._out(now)
+        return self._take_actions(now)
 
     def granted(self, now: float, name: str, grant: LeaseGrant) -> list[Action]:
-        """An answer came."""
+        """The grantor answered a request. An answer that matches no pending request is ignored."""
         grantor = self.grantors[name]
-        sent = grantor.pending.get(grant.number)
-        if sent is not None:
+        sent_at = grantor.pending.get(grant.number)
+        if sent_at is not None:
             grantor.pending = {number: at for number, at in grantor.pending.items() if number > grant.number}
-            self._count(now, name, sent, grant)
-        return self._out(now)
+            self._record_answer(now, name, sent_at, grant)
+        return self._take_actions(now)
 
     def wake(self, now: float) -> list[Action]:
-        """Ask whoever is due, and give up links that deliver nothing."""
+        """Send the requests that are due, and give up links that have stalled."""
         for name, grantor in self.grantors.items():
             if not grantor.linked:
                 continue
-            if self._stalls_at(grantor) <= now:
+            if self._stall_deadline(grantor) <= now:
                 grantor.stalls += 1
-                self._unlink(name)
+                self._mark_unlinked(name)
                 self.actions.append(Stalled(name))
             elif grantor.due <= now:
                 grantor.retries += bool(grantor.pending)
                 self._send_request(now, name)
-        return self._out(now)
+        return self._take_actions(now)
 
     def due(self, now: float) -> float:
-        """When `wake` has something to do."""
+        """When `wake` next has something to do; infinity if nothing is scheduled."""
         due = math.inf
         for grantor in self.grantors.values():
             due = min(due, grantor.due)
             if grantor.linked and grantor.pending:
-                due = min(due, self._stalls_at(grantor))
+                due = min(due, self._stall_deadline(grantor))
         return due
 
-    # ---- parts
+    # ---- requests and answers
 
-    def _unlink(self, name: str) -> None:
+    def _mark_unlinked(self, name: str) -> None:
         grantor = self.grantors[name]
-        grantor.linked, grantor.due = False, math.inf
+        grantor.linked = False
+        grantor.due = math.inf
         grantor.pending.clear()
 
-    def _stalls_at(self, grantor: Grantor) -> float:
-        oldest = next(iter(grantor.pending.values()), math.inf)
-        patience: float = self.stall_time * 2 ** min(grantor.stalls, MAX_STALL_DOUBLINGS)
-        return oldest + patience
+    def _stall_deadline(self, grantor: Grantor) -> float:
+        """When the link counts as stalled if no answer comes; infinity if no request is pending."""
+        oldest_sent_at = next(iter(grantor.pending.values()), math.inf)
+        stall_time: float = self.stall_time * 2 ** min(grantor.stalls, MAX_STALL_TIME_DOUBLINGS)
+        return oldest_sent_at + stall_time
 
     def _send_request(self, now: float, name: str) -> None:
+        """Send a request if the grantor is linked, and schedule a retry in case that no answer comes."""
         grantor = self.grantors[name]
         if not grantor.linked:
             return
         self.numbers += 1
         grantor.pending[self.numbers] = now
-        pause = RESEND_PART * self.stall_time * 2 ** min(grantor.retries, MAX_DOUBLINGS)
-        grantor.due = now + pause * self.random.uniform(0.8, 1.2)
-        self.actions.append(SendToGrantor(name, self._request(self.numbers, grantor)))
+        wait = RESEND_FRACTION * self.stall_time * 2 ** min(grantor.retries, MAX_BACKOFF_DOUBLINGS)
+        grantor.due = now + wait * self.random.uniform(0.8, 1.2)
+        self.actions.append(SendToGrantor(name, self._build_request(self.numbers, grantor)))
 
-    def _count(self, now: float, name: str, sent: float, grant: LeaseGrant) -> None:
-        """Take over an answer to a request that was sent at `sent`."""
+    def _record_answer(self, now: float, name: str, sent_at: float, grant: LeaseGrant) -> None:
+        """Record the answer to a request that was sent at `sent_at`, with the grant in times of this clock."""
         grantor = self.grantors[name]
-        grantor.heard, grantor.reason = now, grant.reason
+        grantor.last_heard = now
+        grantor.refusal_reason = grant.reason
         grantor.retries = grantor.stalls = 0
-        before = grantor.newest
+        previous = grantor.newest_grant
         if grant.ttl > 0 or grant.next_epoch:
-            grantor.newest = CountedGrant(
+            grantor.newest_grant = HeldGrant(
                 grant.number,
                 grant.epoch,
-                sent + grant.ttl * (1 - self.drift) if grant.ttl > 0 else -math.inf,
+                sent_at + grant.ttl * (1 - self.drift) if grant.ttl > 0 else -math.inf,
                 grant.next_epoch,
                 now + grant.begin * (1 + self.drift),
-                sent + grant.next_ttl * (1 - self.drift),
+                sent_at + grant.next_ttl * (1 - self.drift),
             )
-        self._schedule(now, grantor, grant)
-        if not self._is_asked(name):
+        self._schedule_request(now, grantor, grant)
+        if not self._requests_from(name):
             grantor.due = math.inf
-        self._granted(now, name, before, grant)
+        self._answer_recorded(now, name, previous, grant)
 
-    def _schedule(self, now: float, grantor: Grantor, grant: LeaseGrant) -> None:
-        """When this grantor is asked next, after an answer of its."""
+    def _schedule_request(self, now: float, grantor: Grantor, grant: LeaseGrant) -> None:
+        """Schedule the next request to this grantor after its answer: a renewal, or a retry after a refusal."""
         grantor.refusals = grantor.refusals + 1 if grant.reason else 0
         if grant.reason:
-            wait = RETRY_PART * self.lease * 2 ** min(grantor.refusals - 1, MAX_DOUBLINGS)
+            wait = RETRY_PART * self.lease * 2 ** min(grantor.refusals - 1, MAX_BACKOFF_DOUBLINGS)
         elif grant.ttl > 0 or grant.next_epoch:
-            given = grant.next_ttl if grant.next_epoch else grant.ttl
-            part = RENEW_PART if given > SHORT_PART * self.lease else SHORT_RENEW_PART
-            wait = max(part * given, RENEW_FLOOR * self.lease)
+            granted_time = grant.next_ttl if grant.next_epoch else grant.ttl
+            is_long = granted_time > SHORT_GRANT_FRACTION * self.lease
+            fraction = RENEWAL_FRACTION if is_long else SHORT_GRANT_RENEWAL_FRACTION
+            wait = max(fraction * granted_time, MIN_RENEWAL_WAIT_FRACTION * self.lease)
         else:
-            wait = RENEW_PART * self.lease  # it waits for the verdict on a change, which is on its way
+            # The grantor waits for this holder's verdict on a change, which another request will carry.
+            wait = RENEWAL_FRACTION * self.lease
         renew_at = now + wait * self.random.uniform(0.8, 1.0)
         grantor.due = min(grantor.due, renew_at) if grantor.pending else renew_at
--- a/banklift/fleet/lease.py
+++ b/banklift/fleet/lease.py
@@ -1,25 +1,28 @@
-"""A router's leases: which policy it may serve under, and until when. Pure; times are this router's own clock.
+"""A router's leases: which policy epoch it may serve, and until when.
 
-It may serve epoch e while enough grantors have it under a lease for e: a majority of the voters, or one
-aggregator, whose own lease of a majority contains what it grants (aggregator.py). How requests are made and
-grants are counted is told in holder.py.
+This module does no I/O. All times are seconds on the router's own clock.
 
-| what it holds | event | next | what is told |
+A policy in force has an epoch, a number that counts up with each change of policy. A router may serve epoch e while
+enough grantors have it under a lease for e: a majority of the voters, or one aggregator. An aggregator grants only
+parts of a lease that it holds from a majority of the voters itself (aggregator.py). How requests are sent and how
+long a grant lasts on this clock is described in holder.py.
+
+| the router | event | next | actions |
 | --- | --- | --- | --- |
-| nothing | enough grant e, and it accepts its policy | serving e | `EpochAdopted(e)`, `LeaseExtended` |
-| serving e | renewed | serving e, longer | `LeaseExtended` |
-| serving e | e ends, and e + 1 has begun at enough | serving e + 1 | `EpochAdopted(e + 1)`, `LeaseExtended` |
-| serving e | e ends, e + 1 is about to begin | nothing, for a moment | the end was told before |
-| serving e | e ends, nothing has begun | nothing: fenced | a log line; the end was told before |
-| any | a policy that it refuses is granted | as before; never serving that | a log line, and its verdict |
-| any | `leave` | nothing, for good | the end, then a `LeaseRelease` to each |
-
-Aggregators. The preferred one is asked alone; the standby's link is up, and it is asked when the preferred one
-is gone, does not answer, or has no lease itself. A preferred one that grants again is gone back to, and what
-the standby granted is given back.
-
-A router that stood still across an end finds it passed when it looks at its clock, which it does before it
-takes any request.
+| serves nothing | enough grantors grant e; its check accepts it | serves e | `EpochAdopted(e)`, `LeaseExtended` |
+| serves e | the leases are renewed | serves e, longer | `LeaseExtended` |
+| serves e | e ends, and e + 1 has begun at enough grantors | serves e + 1 | `EpochAdopted(e + 1)`, `LeaseExtended` |
+| serves e | e ends, and e + 1 is about to begin | serves nothing until then | none: the end was announced before |
+| serves e | e ends, and no other epoch begins | fenced: serves nothing | a log line; the end was announced before |
+| any | a policy that its check refuses is granted | as before, but never serves it | a log line; its verdict is sent |
+| any | `leave` | serves nothing any more | the end is announced, then a `LeaseRelease` to each grantor |
+
+Aggregators. A router leases from its preferred aggregator alone. Its link to the standby is up, and it requests a
+lease there when the preferred one is gone, does not answer, or has no lease itself. Once the preferred one grants
+again, the router goes back to it and releases what the standby granted.
+
+A router that was suspended until after the end of its lease does not serve afterwards: it compares the end with its
+clock before it handles any request.
 """
 
 from __future__ import annotations
@@ -32,9 +35,9 @@
     NO_GRANT,
     RETRY_PART,
     Action,
-    CountedGrant,
     EpochAdopted,
     Grantor,
+    HeldGrant,
     LeaseExtended,
     LeaseHolder,
     SendToGrantor,
@@ -45,7 +48,12 @@
 
 
 class LeaseClient(LeaseHolder):
-    """`grantors`: all voters, or aggregators in order of preference (`one_is_enough`)."""
+    """The leases of one router.
+
+    `grantors`: all voters; or, with `uses_aggregators`, aggregators in order of preference, of which one is enough.
+    `lease`: seconds that a lease lasts at rest. `drift`: bound on the relative rate of two clocks, a fraction.
+    `check`: returns the reasons of this router against a policy, none if it can serve it.
+    """
 
     def __init__(
         self,
@@ -54,57 +62,63 @@
         drift: float,
         random: Random,
         check: Check,
-        one_is_enough: bool = False,
+        uses_aggregators: bool = False,
     ) -> None:
         super().__init__(grantors, lease, drift, random)
-        self.one_is_enough = one_is_enough
-        self.quorum = 1 if one_is_enough else majority(len(grantors))
-        self.preference = {name: place for place, name in enumerate(grantors)}
-        self.active = grantors[0]  # the aggregator that it leases from
+        self.uses_aggregators = uses_aggregators
+        self.quorum = 1 if uses_aggregators else majority(len(grantors))
+        self.preference_rank = {name: place for place, name in enumerate(grantors)}
+        self.active_aggregator = grantors[0]  # the one that it leases from; of no meaning without aggregators
         self.policies = PolicyCache(check)
-        self.epochs: dict[int, str] = {}  # digest of the policy of each epoch granted lately
-        self.serving = 0
-        self.until = -math.inf
-        self.fenced = False  # an end was logged
-        self.left = False
+        self.epoch_digests: dict[int, str] = {}  # digest of the policy of each epoch that was granted
+        self.serving = 0  # the epoch that it serves or served last; 0: none
+        self.until = -math.inf  # the end of its lease that was announced last
+        self.fenced = False  # whether the log tells already that it serves nothing
+        self.has_left = False
 
     # ---- events
 
     def up(self, now: float, name: str) -> list[Action]:
+        """The link to the grantor `name` is up."""
         actions = super().up(now, name)
-        if not self.grantors[self.active].linked:
+        if not self.grantors[self.active_aggregator].linked:
             self._choose_active(now)
-        return actions + self._out(now)
+        return actions + self._take_actions(now)
 
     def down(self, now: float, name: str) -> list[Action]:
-        self._unlink(name)
+        """The link to the grantor `name` is down: lease from another aggregator, if there is one."""
+        self._mark_unlinked(name)
         self._choose_active(now)
-        return self._out(now)
+        return self._take_actions(now)
 
     def renew_now(self, now: float, name: str, news: RenewNow) -> list[Action]:
-        if not self._is_asked(name) and self.grantors[name].newest is NO_GRANT:
-            return []  # a standby has news, and holds nothing of this router
+        """The grantor asks for a new request. A standby whose grants this router does not hold gets none."""
+        if not self._requests_from(name) and self.grantors[name].newest_grant is NO_GRANT:
+            return []
         return super().renew_now(now, name, news)
 
     def wake(self, now: float) -> list[Action]:
-        linked = self.grantors[self.active].linked
+        """Send the requests that are due. If the link to the active aggregator has stalled, choose another one."""
+        was_linked = self.grantors[self.active_aggregator].linked
         actions = super().wake(now)
-        if linked and not self.grantors[self.active].linked:
+        if was_linked and not self.grantors[self.active_aggregator].linked:
             self._choose_active(now)
-            actions += self._out(now)
+            actions += self._take_actions(now)
         return actions
 
     def due(self, now: float) -> float:
+        """When `wake` next has something to do: a request, the begin of a next epoch, or the end of the lease."""
         due = super().due(now)
         for grantor in self.grantors.values():
-            newest = grantor.newest
-            if newest.next_epoch and now < newest.begin < due:
-                due = newest.begin
+            grant = grantor.newest_grant
+            if grant.next_epoch and now < grant.next_begins_at < due:
+                due = grant.next_begins_at
         return min(due, self.until) if self.until > now else due
 
     def leave(self, now: float) -> list[Action]:
-        """Serve nothing from now on, and give all leases back."""
-        self.left, self.until = True, -math.inf
+        """Serve nothing from now on, and release all leases."""
+        self.has_left = True
+        self.until = -math.inf
         self.actions.append(LeaseExtended(-math.inf, RETRY_PART * self.lease))
         for name, grantor in self.grantors.items():
             grantor.due = math.inf
@@ -113,177 +127,216 @@
         done, self.actions = self.actions, []
         return done
 
-    # ---- what a holder does
+    # ---- hooks of LeaseHolder
 
     def _send_request(self, now: float, name: str) -> None:
-        if not self.left:
+        if not self.has_left:
             super()._send_request(now, name)
 
-    def _request(self, number: int, grantor: Grantor) -> LeaseRequest:
-        verdict = self.policies.verdicts.get(grantor.subject) if grantor.change else None
-        answered = grantor.change if verdict is not None else ""
-        have = tuple(self.policies.texts)
-        return LeaseRequest(number, grantor.counted_from, self.serving, answered, verdict, have)
+    def _build_request(self, number: int, grantor: Grantor) -> LeaseRequest:
+        verdict = self.policies.verdicts.get(grantor.change_digest) if grantor.change_id else None
+        answered_change = grantor.change_id if verdict is not None else ""
+        held_policies = tuple(self.policies.texts)
+        return LeaseRequest(
+            number, grantor.oldest_held, self.serving, answered_change, verdict, held_policies
+        )
 
-    def _granted(self, now: float, name: str, before: CountedGrant, grant: LeaseGrant) -> None:
+    def _answer_recorded(self, now: float, name: str, previous: HeldGrant, grant: LeaseGrant) -> None:
         grantor = self.grantors[name]
-        grantor.counted_from = grantor.newest.number
-        for epoch, known in zip((grant.epoch, grant.next_epoch), grant.digests, strict=True):
-            if epoch and grantor.newest is not before:
-                self.epochs[epoch] = known
+        grantor.oldest_held = grantor.newest_grant.number
+        for epoch, digest in zip((grant.epoch, grant.next_epoch), grant.digests, strict=True):
+            if epoch and grantor.newest_grant is not previous:
+                self.epoch_digests[epoch] = digest
         for text in grant.policies:
-            self.policies.keep(text, self._in_use())
-        if self.one_is_enough:
-            self._prefer(now, name, bool(grant.ttl > 0 or grant.next_epoch))
-        if grantor.newest.end(grant.epoch) < before.end(grant.epoch):  # the longer lease is given up
-            self.actions.append(SendToGrantor(name, LeaseRelease(before.number)))
-        if self._check(grantor, grant.change, grant.subject):
+            self.policies.keep(text, self._digests_in_use())
+        if self.uses_aggregators:
+            self._update_active(now, name, bool(grant.ttl > 0 or grant.next_epoch))
+        # Tell the grantor at once that a longer lease is no longer relied on, as a change may wait for its end.
+        if grantor.newest_grant.end_of(grant.epoch) < previous.end_of(grant.epoch):
+            self.actions.append(SendToGrantor(name, LeaseRelease(previous.number)))
+        if self._check_change(grantor, grant.change, grant.subject):
             self._send_request(now, name)
 
-    def _is_asked(self, name: str) -> bool:
-        if self.left:
+    def _requests_from(self, name: str) -> bool:
+        """Of aggregators: the active one, those preferred to it, and all others while the active one refuses."""
+        if self.has_left:
             return False
-        if not self.one_is_enough or name == self.active:
+        if not self.uses_aggregators or name == self.active_aggregator:
             return True
-        active = self.grantors[self.active]
-        return self.preference[name] < self.preference[self.active] or bool(active.reason)
+        active = self.grantors[self.active_aggregator]
+        is_preferred = self.preference_rank[name] < self.preference_rank[self.active_aggregator]
+        return is_preferred or bool(active.refusal_reason)
 
-    # ---- changes
+    # ---- checks of changes
 
-    def _told(self, grantor: Grantor, news: RenewNow) -> bool:
+    def _news_received(self, grantor: Grantor, news: RenewNow) -> bool:
         for text in news.policies:
-            self.policies.keep(text, self._in_use())
-        return self._check(grantor, news.change, news.subject)
+            self.policies.keep(text, self._digests_in_use())
+        return self._check_change(grantor, news.change, news.subject)
 
-    def _check(self, grantor: Grantor, change: str, subject: str) -> bool:
-        """Check the policy of a change that is new from this grantor. Whether it was."""
-        if not change or change == grantor.change or subject not in self.policies.texts:
+    def _check_change(self, grantor: Grantor, change: str, digest: str) -> bool:
+        """Check the policy of a change if this grantor names the change for the first time and the text is here.
+
+        Returns whether it was checked, and the grantor has to be told the verdict. The check is logged once for
+        each change, whichever grantor names it.
+        """
+        if not change or change == grantor.change_id or digest not in self.policies.texts:
             return False
-        before = any(other.change == change for other in self.grantors.values())
-        grantor.change, grantor.subject = change, subject
-        reasons = self.policies.verdict(subject)
-        if not before:
+        is_known = any(other.change_id == change for other in self.grantors.values())
+        grantor.change_id = change
+        grantor.change_digest = digest
+        reasons = self.policies.verdict(digest)
+        if not is_known:
             self.actions.append(LogLine("policy checked", {"change": change, "reasons": list(reasons)}))
         return True
 
-    def _in_use(self) -> set[str]:
-        found = {self.epochs.get(self.serving, "")}
+    def _digests_in_use(self) -> set[str]:
+        """Digests of the policies that are served, granted or being checked."""
+        found = {self.epoch_digests.get(self.serving, "")}
         for grantor in self.grantors.values():
-            newest = grantor.newest
+            grant = grantor.newest_grant
             found |= {
-                grantor.subject,
-                self.epochs.get(newest.epoch, ""),
-                self.epochs.get(newest.next_epoch, ""),
+                grantor.change_digest,
+                self.epoch_digests.get(grant.epoch, ""),
+                self.epoch_digests.get(grant.next_epoch, ""),
             }
         return found
 
-    # ---- aggregators
+    # ---- choice of an aggregator
 
     def _choose_active(self, now: float) -> None:
-        """Lease from the most preferred aggregator that is linked and gave no reason against it."""
-        linked = [name for name, one in self.grantors.items() if one.linked]
-        if not self.one_is_enough or not linked:
+        """Lease from the most preferred linked aggregator among those that did not refuse, or else among all."""
+        linked = [name for name, grantor in self.grantors.items() if grantor.linked]
+        if not self.uses_aggregators or not linked:
             return
-        best = min(linked, key=lambda name: (self.grantors[name].reason != "", self.preference[name]))
-        if best != self.active:
-            self.active = best
+        best = min(
+            linked,
+            key=lambda name: (self.grantors[name].refusal_reason != "", self.preference_rank[name]),
+        )
+        if best != self.active_aggregator:
+            self.active_aggregator = best
             if not self.grantors[best].pending:
                 self._send_request(now, best)
 
-    def _prefer(self, now: float, name: str, gave: bool) -> None:
-        """An aggregator has answered: go on to another if it gave nothing, or back to it if it is preferred."""
-        if not gave:
-            if name == self.active and self.grantors[name].reason:
+    def _update_active(self, now: float, name: str, has_granted: bool) -> None:
+        """Choose the active aggregator again after an answer of `name`.
+
+        If the active one granted nothing, another one may take its place. One that granted becomes the active one
+        if it is preferred, or if the active one refuses; then the leases of all others are released.
+        """
+        active = self.active_aggregator
+        if not has_granted:
+            if name == active and self.grantors[name].refusal_reason:
                 self._choose_active(now)
-        elif self.preference[name] < self.preference[self.active] or self.grantors[self.active].reason:
-            self.active = name
-        if name == self.active and gave:
+        elif (
+            self.preference_rank[name] < self.preference_rank[active] or self.grantors[active].refusal_reason
+        ):
+            self.active_aggregator = name
+        if name == self.active_aggregator and has_granted:
             self._release_others(name)
 
     def _release_others(self, name: str) -> None:
+        """Release the leases of all grantors but `name`."""
         for other, grantor in self.grantors.items():
-            if other != name and grantor.linked and grantor.newest is not NO_GRANT:
+            if other != name and grantor.linked and grantor.newest_grant is not NO_GRANT:
                 self._release(other)
 
     def _release(self, name: str) -> None:
+        """Release all leases of this grantor, also those that an answer on its way may bring."""
         grantor = self.grantors[name]
-        grantor.newest, grantor.due = NO_GRANT, math.inf
+        grantor.newest_grant = NO_GRANT
+        grantor.due = math.inf
         grantor.pending.clear()
         self.actions.append(SendToGrantor(name, LeaseRelease(self.numbers)))
 
-    # ---- what follows
+    # ---- what may be served
 
-    def _holds(self, epoch: int, now: float) -> float:
-        """Until when enough grantors have it under a lease for this epoch; in the past if they have not."""
+    def _quorum_end(self, epoch: int, now: float) -> float:
+        """Until when enough grantors have this router under a lease for the epoch; minus infinity if too few do."""
         ends = sorted(
-            (one.newest.end(epoch) for one in self.grantors.values() if one.newest.covers(epoch, now)),
+            (
+                grantor.newest_grant.end_of(epoch)
+                for grantor in self.grantors.values()
+                if grantor.newest_grant.covers(epoch, now)
+            ),
             reverse=True,
         )
         return ends[self.quorum - 1] if len(ends) >= self.quorum else -math.inf
 
-    def _good(self, now: float) -> tuple[int, float]:
-        """The epoch that may be served now, and until when; zero if there is none."""
-        epochs = {one.newest.epoch for one in self.grantors.values()}
-        epochs |= {one.newest.next_epoch for one in self.grantors.values()}
-        good = {epoch: end for epoch in epochs if epoch and (end := self._holds(epoch, now)) > now}
-        assert len(good) <= 1, f"leases for two epochs at a time: {good}"
-        return next(iter(good.items()), (0, -math.inf))
-
-    def _out(self, now: float) -> list[Action]:
-        """What may be served now comes first, before anything that tells a grantor what is given up."""
-        told: list[Action] = []
-        epoch, end = (0, -math.inf) if self.left else self._good(now)
-        text = self.policies.texts.get(self.epochs.get(epoch, ""))
-        if epoch and text is not None and not self._refuses(epoch):
-            self._serve(epoch, end, text, told)
+    def _leased_epoch(self, now: float) -> tuple[int, float]:
+        """The epoch that enough leases allow to serve now, and until when; zero and minus infinity if none."""
+        epochs = {grantor.newest_grant.epoch for grantor in self.grantors.values()}
+        epochs |= {grantor.newest_grant.next_epoch for grantor in self.grantors.values()}
+        leased = {epoch: end for epoch in epochs if epoch and (end := self._quorum_end(epoch, now)) > now}
+        assert len(leased) <= 1, f"leases for two epochs at a time: {leased}"
+        return next(iter(leased.items()), (0, -math.inf))
+
+    def _take_actions(self, now: float) -> list[Action]:
+        """Decide what may be served now, and return this before the other actions that have gathered.
+
+        The order matters: the router stops serving before a grantor is told that it gives a lease up.
+        """
+        decided: list[Action] = []
+        epoch, end = (0, -math.inf) if self.has_left else self._leased_epoch(now)
+        text = self.policies.texts.get(self.epoch_digests.get(epoch, ""))
+        if epoch and text is not None and not self._is_refused(epoch):
+            self._serve(epoch, end, text, decided)
         else:
-            self._stop(now, bool(epoch), told)
-        done, self.actions = [*told, *self.actions], []
+            self._stop_serving(now, bool(epoch), decided)
+        done, self.actions = [*decided, *self.actions], []
         return done
 
-    def _refuses(self, epoch: int) -> bool:
-        """Whether this router's own check is against the policy in force."""
-        reasons = self.policies.verdict(self.epochs[epoch])
+    def _is_refused(self, epoch: int) -> bool:
+        """Whether this router's own check refuses the policy of the epoch. Logged once."""
+        reasons = self.policies.verdict(self.epoch_digests[epoch])
         if reasons and not (self.fenced and self.serving == 0):
             fields: dict[str, object] = {"epoch": epoch, "reasons": list(reasons)}
             self.actions.append(LogLine("policy in force is refused", fields))
-            self.serving, self.fenced = 0, True
+            self.serving = 0
+            self.fenced = True
         return bool(reasons)
 
-    def _serve(self, epoch: int, end: float, text: bytes, told: list[Action]) -> None:
+    def _serve(self, epoch: int, end: float, text: bytes, decided: list[Action]) -> None:
+        """Serve the epoch until `end`, and announce what of this is new."""
         if epoch != self.serving:
             self.serving = epoch
-            told.append(EpochAdopted(epoch, text))
+            decided.append(EpochAdopted(epoch, text))
         if end != self.until or self.fenced:
-            self.until, self.fenced = end, False
-            told.append(LeaseExtended(end, RETRY_PART * self.lease))
+            self.until = end
+            self.fenced = False
+            decided.append(LeaseExtended(end, RETRY_PART * self.lease))
+
+    def _stop_serving(self, now: float, has_lease: bool, decided: list[Action]) -> None:
+        """Serve nothing, and log it once. `has_lease`: there are enough leases, but the policy can't be served.
 
-    def _stop(self, now: float, refused: bool, told: list[Action]) -> None:
-        """Nothing may be served. The end that was told last may be later: a longer lease was given up for a
-        shorter one that had ended when it came."""
+        The end that was announced last may still be ahead, and is then moved to `now`: a longer lease was given up
+        for a shorter one that had ended before it came.
+        """
         if self.until > now:
             self.until = now
-            told.append(LeaseExtended(now, RETRY_PART * self.lease))
-        if self.serving and not self.fenced and not self.left and not refused and not self._next_begins(now):
+            decided.append(LeaseExtended(now, RETRY_PART * self.lease))
+        has_lost_leases = self.serving and not self.fenced and not self.has_left and not has_lease
+        if has_lost_leases and not self._next_epoch_is_imminent(now):
             self.fenced = True
-            troubles = {name: self.trouble(now, name) for name in self.grantors}
-            fields: dict[str, object] = {"epoch": self.serving, "grantors": troubles}
+            reasons = {name: self.reason_without_lease(now, name) for name in self.grantors}
+            fields: dict[str, object] = {"epoch": self.serving, "grantors": reasons}
             self.actions.append(LogLine("fenced: not enough leases", fields))
 
-    def _next_begins(self, now: float) -> bool:
-        """Whether leases on a next epoch are about to begin: what is between is a moment of each change."""
-        about_to = (
-            now < one.newest.begin < now + self.lease
-            for one in self.grantors.values()
-            if one.newest.next_epoch
+    def _next_epoch_is_imminent(self, now: float) -> bool:
+        """Whether enough leases on a next epoch begin within one lease: each change has a short gap between the end
+        of one epoch and the begin of the next, which is no loss of leases."""
+        begins_soon = (
+            now < grantor.newest_grant.next_begins_at < now + self.lease
+            for grantor in self.grantors.values()
+            if grantor.newest_grant.next_epoch
         )
-        return sum(about_to) >= self.quorum
+        return sum(begins_soon) >= self.quorum
 
-    def trouble(self, now: float, name: str) -> str:
-        """Why this grantor gives no lease, in words; empty if it does."""
+    def reason_without_lease(self, now: float, name: str) -> str:
+        """Why this grantor gives no lease on the epoch served, for the log; empty if it gives one."""
         grantor = self.grantors[name]
-        if grantor.newest.covers(self.serving, now):
+        if grantor.newest_grant.covers(self.serving, now):
             return ""
         if not grantor.linked:
             return "no link"
-        return grantor.reason or f"no answer for {now - grantor.heard:.1f} s"
+        return grantor.refusal_reason or f"no answer for {now - grantor.last_heard:.1f} s"
--- a/banklift/fleet/parent_lease.py
+++ b/banklift/fleet/parent_lease.py
@@ -1,13 +1,16 @@
-"""An aggregator's own lease of a majority of voters, and what it learns from them. Pure; times are its own
-clock.
+"""An aggregator's own lease from a majority of the voters, and what it learns from the voters' answers.
 
-It asks every voter, as a router does (holder.py), and may grant parts of its lease on epoch e inside of its
-*window* for e: the time in which a majority of voters has it under a lease for e by the newest grant of each.
+This module does no I/O. All times are seconds on the aggregator's own clock.
 
-A window may shrink: while a change takes hold, voters grant short leases, and a newer, shorter grant ends
-before an older one. What was granted further on within the older one is still out then. So older grants go on
-to be counted, which the voters are told (`held`), until `count_newest` is called, once everything granted
-further on ends within the newest windows. New sub-leases only ever come from the newest ones.
+The aggregator requests a lease from every voter, as a router does (holder.py). It may grant parts of its lease on
+epoch e only within its *window* for e: the time in which a majority of the voters has it under a lease for e,
+judged by the newest grant of each.
+
+A window may shrink. While a change of policy takes hold, voters grant short leases, and a newer, shorter grant ends
+before an older one. Sub-leases that were cut from the older grant may then end after the new window. Therefore the
+aggregator goes on to hold its older grants, and the voters know it from `LeaseRequest.held`, until everything that
+was granted from them ends within the newest windows and `drop_older_grants` is called. New sub-leases are cut from
+the newest windows only.
 """
 
 from __future__ import annotations
@@ -17,7 +20,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from banklift.fleet.holder import Action, CountedGrant, Grantor, LeaseHolder
+from banklift.fleet.holder import Action, Grantor, HeldGrant, LeaseHolder
 from banklift.fleet.messages import LeaseGrant, LeaseRequest, Summary
 from banklift.fleet.policies import PolicyCache
 from banklift.fleet.register import majority
@@ -25,7 +28,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """From when until when a majority of voters has this aggregator under a lease for an epoch."""
+    """The time, from `begin` until `end`, in which a majority of the voters has this aggregator under a lease for
+    `epoch`."""
 
     epoch: int
     begin: float
@@ -34,17 +38,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeView:
-    """The change under way in the newest state that any voter told of; no id: there is none."""
+    """The change of policy under way, from the newest state that any voter told of."""
 
-    version: int = 0
-    change: str = ""
+    version: int = 0  # of that state
+    change: str = ""  # id of the change; empty if none is under way
     stage: str = ""
-    dry: bool = False
-    subject: str = ""  # digest of its policy
+    dry: bool = False  # a dry run: the change is checked, and never takes hold
+    subject: str = ""  # digest of the policy of the change
 
 
 class ParentLease(LeaseHolder):
-    """`summary`: of the routers that hold a sub-lease, for the voters."""
+    """The lease of one aggregator from `voters`.
+
+    `lease`: seconds that a voter's lease lasts at rest. `drift`: bound on the relative rate of two clocks, a
+    fraction. `summary`: returns the counts of routers with a sub-lease, at a time, for the requests to the voters.
+    """
 
     def __init__(
         self,
@@ -57,98 +65,114 @@
         super().__init__(voters, lease, drift, random)
         self.quorum = majority(len(voters))
         self.summary = summary
-        self.policies = PolicyCache(lambda text: ())  # routers check; an aggregator serves nothing itself
-        self.epochs: dict[int, str] = {}  # digest of the policy of each epoch granted lately
-        self.windows: tuple[Window, ...] = ()
+        # Accepts every policy: only routers check policies, as an aggregator handles no requests of clients.
+        self.policies = PolicyCache(lambda text: ())
+        self.epoch_digests: dict[int, str] = {}  # digest of the policy of each epoch that was granted lately
+        self.windows: tuple[Window, ...] = ()  # by epoch, in ascending order
         self.view = ChangeView()
-        self.verdict: tuple[str, ...] | None = None  # of all its routers, on the change of the view
-        self.now = 0.0
+        # The verdict of all its routers on the change of `view`, sent to the voters: reasons against the policy, none
+        # if all accept; None while it is not known.
+        self.verdict: tuple[str, ...] | None = None
+        self.now = 0.0  # time of the newest event that sends a request
 
     # ---- for the aggregator
 
-    def current(self, now: float) -> Window | None:
-        """The window that holds now."""
-        found = [one for one in self.windows if one.begin <= now < one.end]
+    def current_window(self, now: float) -> Window | None:
+        """The window that `now` lies in, or None."""
+        found = [window for window in self.windows if window.begin <= now < window.end]
         assert len(found) <= 1, f"leases for two epochs at a time: {found}"
         return found[0] if found else None
 
-    def coming(self, now: float) -> Window | None:
-        """The window that begins later."""
-        return next((one for one in self.windows if one.begin > now), None)
+    def coming_window(self, now: float) -> Window | None:
+        """The window that begins after `now`, or None."""
+        return next((window for window in self.windows if window.begin > now), None)
 
-    def end_of(self, epoch: int) -> float:
-        """Until when the newest grants give it this epoch."""
-        return next((one.end for one in self.windows if one.epoch == epoch), -math.inf)
+    def window_end(self, epoch: int) -> float:
+        """When the window for the epoch ends; minus infinity if there is no window."""
+        return next((window.end for window in self.windows if window.epoch == epoch), -math.inf)
 
     @property
-    def counts_older(self) -> bool:
-        """Whether grants are counted that newer ones have followed."""
-        return any(one.counted_from != one.newest.number for one in self.grantors.values())
+    def holds_older_grants(self) -> bool:
+        """Whether it still holds grants of a voter that has sent a newer one."""
+        return any(grantor.oldest_held != grantor.newest_grant.number for grantor in self.grantors.values())
 
-    def count_newest(self) -> None:
-        """Give up all grants but the newest of each voter."""
+    def drop_older_grants(self) -> None:
+        """Hold only the newest grant of each voter; the next request tells the voter."""
         for grantor in self.grantors.values():
-            grantor.counted_from = grantor.newest.number
+            grantor.oldest_held = grantor.newest_grant.number
 
     def request_all(self, now: float) -> list[Action]:
-        """Ask every voter now, as there is something to tell them."""
+        """Send a request to every voter now, as there is something to tell them."""
         self.now = now
         for name in self.grantors:
             self._send_request(now, name)
-        return self._out(now)
+        return self._take_actions(now)
 
-    # ---- what a holder does
+    # ---- hooks of LeaseHolder
 
     def _send_request(self, now: float, name: str) -> None:
         self.now = now
         super()._send_request(now, name)
 
-    def _request(self, number: int, grantor: Grantor) -> LeaseRequest:
-        window = self.current(self.now)
-        answered = self.view.change if self.verdict is not None else ""
+    def _build_request(self, number: int, grantor: Grantor) -> LeaseRequest:
+        window = self.current_window(self.now)
+        answered_change = self.view.change if self.verdict is not None else ""
         return LeaseRequest(
             number,
-            grantor.counted_from,
+            grantor.oldest_held,
             window.epoch if window is not None else 0,
-            answered,
+            answered_change,
             self.verdict,
             tuple(self.policies.texts),
             self.summary(self.now),
         )
 
-    def _granted(self, now: float, name: str, before: CountedGrant, grant: LeaseGrant) -> None:
+    def _answer_recorded(self, now: float, name: str, previous: HeldGrant, grant: LeaseGrant) -> None:
         if grant.version > self.view.version:
-            self._view(grant)
-        if self.grantors[name].newest is not before:
-            for epoch, known in zip((grant.epoch, grant.next_epoch), grant.digests, strict=True):
+            self._update_view(grant)
+        if self.grantors[name].newest_grant is not previous:
+            for epoch, digest in zip((grant.epoch, grant.next_epoch), grant.digests, strict=True):
                 if epoch:
-                    self.epochs[epoch] = known
-            self.windows = self._windows()
-            self._forget_epochs()
+                    self.epoch_digests[epoch] = digest
+            self.windows = self._compute_windows()
+            self._forget_old_epochs()
         for text in grant.policies:
-            self.policies.keep(text, {self.view.subject, *self.epochs.values()})
+            self.policies.keep(text, {self.view.subject, *self.epoch_digests.values()})
+
+    # ---- state of the voters
 
-    def _view(self, grant: LeaseGrant) -> None:
-        """A newer state: what was said of another change counts for nothing."""
+    def _update_view(self, grant: LeaseGrant) -> None:
+        """Take over a newer state; a verdict on another change no longer counts."""
         if grant.change != self.view.change:
             self.verdict = None
         self.view = ChangeView(grant.version, grant.change, grant.stage, grant.dry, grant.subject)
 
-    def _forget_epochs(self) -> None:
-        oldest = min((one.epoch for one in self.windows), default=0)
-        self.epochs = {epoch: known for epoch, known in self.epochs.items() if epoch >= oldest}
+    def _forget_old_epochs(self) -> None:
+        """Drop the digests of epochs before the oldest window."""
+        oldest = min((window.epoch for window in self.windows), default=0)
+        self.epoch_digests = {
+            epoch: digest for epoch, digest in self.epoch_digests.items() if epoch >= oldest
+        }
 
-    def _windows(self) -> tuple[Window, ...]:
-        grants = [one.newest for one in self.grantors.values()]
-        epochs = sorted({one.epoch for one in grants} | {one.next_epoch for one in grants})
-        found = (self._window(epoch, grants) for epoch in epochs if epoch)
-        return tuple(one for one in found if one is not None)
+    # ---- windows
 
-    def _window(self, epoch: int, grants: list[CountedGrant]) -> Window | None:
-        """When a majority has begun with the epoch, and until when a majority of these has it."""
-        begins = sorted(one.start(epoch) for one in grants if one.end(epoch) > -math.inf)
+    def _compute_windows(self) -> tuple[Window, ...]:
+        grants = [grantor.newest_grant for grantor in self.grantors.values()]
+        epochs = sorted({grant.epoch for grant in grants} | {grant.next_epoch for grant in grants})
+        found = (self._compute_window(epoch, grants) for epoch in epochs if epoch)
+        return tuple(window for window in found if window is not None)
+
+    def _compute_window(self, epoch: int, grants: list[HeldGrant]) -> Window | None:
+        """The window for the epoch by these grants, the newest of each voter.
+
+        It begins once the leases of a majority have begun, and ends when fewer than a majority of the leases that
+        had begun by then are left. None if fewer than a majority of the voters granted the epoch.
+        """
+        begins = sorted(grant.start_of(epoch) for grant in grants if grant.end_of(epoch) > -math.inf)
         if len(begins) < self.quorum:
             return None
         begin = begins[self.quorum - 1]
-        ends = sorted((one.end(epoch) for one in grants if one.start(epoch) <= begin), reverse=True)
+        ends = sorted(
+            (grant.end_of(epoch) for grant in grants if grant.start_of(epoch) <= begin), reverse=True
+        )
         return Window(epoch, begin, ends[self.quorum - 1])
--- a/tests/test_aggregator.py
+++ b/tests/test_aggregator.py
@@ -96,7 +96,7 @@
     for step in range(29):
         now = 0.1 * step
         grant = tier.ask(now)
-        window = tier.aggregator.parent.current(now)
+        window = tier.aggregator.parent.current_window(now)
         assert window is not None and window.end == pytest.approx(LEASE * (1 - DRIFT))
         assert now + grant.ttl * (1 + DRIFT) <= window.end + 1e-9
         assert grant.ttl == pytest.approx(min(SUB_LEASE, (window.end - now) / (1 + DRIFT)))
--- a/tests/test_aggregator_planted.py
+++ b/tests/test_aggregator_planted.py
@@ -315,7 +315,7 @@
 
 
 def a_grant_on_the_old_epoch_after_the_switch(patch: Patch) -> None:
-    real = ParentLease.current
+    real = ParentLease.current_window
 
     def current(self: ParentLease, now: float) -> Window | None:
         window = real(self, now)
@@ -326,31 +326,31 @@
     def forget(self: ParentLease) -> None:
         return
 
-    patch.setattr(ParentLease, "current", current)
-    patch.setattr(ParentLease, "_forget_epochs", forget)
+    patch.setattr(ParentLease, "current_window", current)
+    patch.setattr(ParentLease, "_forget_old_epochs", forget)
 
 
 def older_grants_given_up_while_longer_sub_leases_are_out(patch: Patch) -> None:
     def give_up(self: Aggregator, now: float) -> None:
-        self.parent.count_newest()
+        self.parent.drop_older_grants()
 
     patch.setattr(Aggregator, "_give_up_older", give_up)
 
 
 def counted_from_receipt(patch: Patch) -> None:
-    real = LeaseHolder._count
+    real = LeaseHolder._record_answer
 
     def count(self: LeaseHolder, now: float, name: str, sent: float, grant: LeaseGrant) -> None:
         real(self, now, name, now, grant)
 
-    patch.setattr(LeaseHolder, "_count", count)
+    patch.setattr(LeaseHolder, "_record_answer", count)
 
 
 def an_end_that_comes_sooner_is_not_told(patch: Patch) -> None:
     def stop(self: LeaseClient, now: float, refused: bool, told: list[holder.Action]) -> None:
         return
 
-    patch.setattr(LeaseClient, "_stop", stop)
+    patch.setattr(LeaseClient, "_stop_serving", stop)
 
 
 def drift_left_out(patch: Patch) -> None:
