--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Which aggregators a router leases from."""
+"""The choice of the aggregators that a router leases from."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 ROUTERS = [f"router-{number}" for number in range(3_000)]
 
 
-def test_routers_spread_evenly_and_few_move() -> None:
+def test_routers_spread_evenly_and_only_those_of_a_lost_aggregator_move() -> None:
     five = [Candidate(f"a{number}", f"m{number}") for number in range(5)]
     before = {router: choose(router, five) for router in ROUTERS}
     counts = Counter(chosen[0] for chosen in before.values())
@@ -17,9 +17,9 @@
     after = {router: choose(router, five[:4]) for router in ROUTERS}
     moved = [router for router in ROUTERS if before[router][0] != after[router][0]]
     assert all(before[router][0] == "a4" for router in moved)
-    assert all(after[router][0] == before[router][1] for router in moved)  # to their standby
-    takers = Counter(after[router][0] for router in moved)
-    assert set(takers) == {"a0", "a1", "a2", "a3"}
+    assert all(after[router][0] == before[router][1] for router in moved)  # each to its standby
+    new_preferred = Counter(after[router][0] for router in moved)
+    assert set(new_preferred) == {"a0", "a1", "a2", "a3"}
 
 
 def test_the_standby_runs_on_another_machine() -> None:
