--- a/tests/test_aggregator_planted.py
+++ b/tests/test_aggregator_planted.py
@@ -1,7 +1,7 @@
-"""Planted bugs of lease aggregators: each breaks one thing that containment rests on, and is caught in virtual time.
+"""Injected bugs of lease aggregators: each breaks one rule of their safety, and a scenario in virtual time finds it.
 
-Every scenario passes without a bug (`test_nothing_to_complain_of`); for each bug the scenarios are named that have to
-catch it, and each of these does.
+Every scenario passes with the code as it is. Each bug names the scenarios that have to find it, and each of them is
+run with the bug.
 """
 
 from __future__ import annotations
@@ -25,56 +25,60 @@
 
 Patch = pytest.MonkeyPatch
 LEASE = 4.0  # seconds
-SETTLED = 6.0  # seconds after which voters know all leases
+SETTLE_TIME = 6.0  # seconds after a start until voters know all leases
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """Of a fleet: three of the routers are voters, all others lease from aggregators."""
+    """Size of a fleet: three of the routers are voters, all others lease from aggregators."""
 
     routers: int
     aggregators: int
 
 
-ALONE = Size(routers=5, aggregators=1)  # r3 and r4 lease from a0
-PAIR = Size(routers=7, aggregators=2)  # four routers, and a standby for each
+ONE_AGGREGATOR = Size(routers=5, aggregators=1)  # r3 and r4 lease from a0
+TWO_AGGREGATORS = Size(routers=7, aggregators=2)  # four routers lease from these, each with a standby
 
 
-def up(
+def settled_fleet(
     seed: int, size: Size, rates: dict[str, float] | None = None, down: tuple[str, ...] = ()
 ) -> FleetWorld:
-    """A fleet that has settled. `rates`: of clocks; `down`: members that are not started."""
+    """A fleet that has run for `SETTLE_TIME`. `rates`: of the members' clocks; `down`: members that are not started."""
     fleet = FleetWorld(seed, size.routers, 3, LEASE, aggregators=size.aggregators)
     for key, rate in (rates or {}).items():
         fleet.members[key].rate = rate
     for key in fleet.members:
         if key not in down:
             fleet.start(key)
-    fleet.run(SETTLED)
+    fleet.run(SETTLE_TIME)
     return fleet
 
 
-def complaints(fleet: FleetWorld, result: str, wanted: str = "in force") -> list[str]:
-    return fleet.breaks + ([] if result == wanted else [f"the change was {result}"])
+def violations(fleet: FleetWorld, result: str, expected: str = "in force") -> list[str]:
+    """The invariants that were broken, and the result of the change if it is not the expected one."""
+    return fleet.breaks + ([] if result == expected else [f"the change was {result}"])
 
 
 def at_stage(fleet: FleetWorld, stage: Stage, act: Callable[[], None]) -> None:
+    """Call `act` once when the change under way has reached the stage."""
     fleet.when(lambda: fleet.stage() == stage, act)
 
 
-# ---- scenarios: what they complain of, nothing if all is well
+# ---- scenarios: each returns the violations that it found, none if the code is right
 
 
-def a_change() -> list[str]:
-    fleet = up(12, PAIR)
-    found = complaints(fleet, fleet.change(b"second"))
+def change_with_all_members_up() -> list[str]:
+    """A change takes hold on all members."""
+    fleet = settled_fleet(12, TWO_AGGREGATORS)
+    found = violations(fleet, fleet.change(b"second"))
     fleet.run(1.0)
     return found + ([] if fleet.serving() == dict.fromkeys(fleet.names, 2) else ["not all serve"])
 
 
-def a_router_restarts_after_the_switch() -> list[str]:
-    fleet = up(14, PAIR)
-    found = complaints(fleet, fleet.change(b"second"))
+def router_restarts_after_switch() -> list[str]:
+    """A router that restarts after a change serves the new policy."""
+    fleet = settled_fleet(14, TWO_AGGREGATORS)
+    found = violations(fleet, fleet.change(b"second"))
     fleet.kill("r6")
     fleet.start("r6")
     fleet.run(1.0)
@@ -83,102 +87,106 @@
     )
 
 
-def cut_off_from_voters() -> list[str]:
-    """The only aggregator hears nothing from the voters, and its routers go on asking it."""
-    fleet = up(1, ALONE)
+def aggregator_cut_off_from_voters() -> list[str]:
+    """The only aggregator gets no answers from the voters, while its routers go on requesting sub-leases."""
+    fleet = settled_fleet(1, ONE_AGGREGATOR)
     fleet.cut_off("a0", fleet.voters, "back")
-    return complaints(fleet, fleet.change(b"second"))
+    return violations(fleet, fleet.change(b"second"))
 
 
-def cut_off_from_voters_while_leases_run_out() -> list[str]:
+def aggregator_cut_off_during_closing() -> list[str]:
+    """The only aggregator is cut off from the voters, in one direction, once the change is agreed."""
     found = []
     for way in ("there", "back"):
-        fleet = up(2, ALONE)
+        fleet = settled_fleet(2, ONE_AGGREGATOR)
         at_stage(fleet, Stage.AGREED, lambda fleet=fleet, way=way: fleet.cut_off("a0", fleet.voters, way))  # type: ignore[misc]
-        found += complaints(fleet, fleet.change(b"second"))
+        found += violations(fleet, fleet.change(b"second"))
     return found
 
 
-def a_router_is_cut_off_while_leases_run_out() -> list[str]:
-    """It holds a sub-lease that is longer than what the voters grant by then."""
-    fleet = up(3, ALONE)
+def router_cut_off_during_closing() -> list[str]:
+    """A router is cut off once the change is agreed. Its sub-lease is longer than the leases that voters grant then."""
+    fleet = settled_fleet(3, ONE_AGGREGATOR)
     at_stage(fleet, Stage.AGREED, lambda: fleet.cut_off("r4", ("a0",)))
-    return complaints(fleet, fleet.change(b"second"))
+    return violations(fleet, fleet.change(b"second"))
 
 
-def a_router_is_cut_off_before_the_switch() -> list[str]:
-    """It has been told when the next epoch begins, and hears nothing more."""
+def router_cut_off_before_switch() -> list[str]:
+    """A router is cut off after it was told when the next epoch begins."""
     found = []
     for delay in (0.1, 0.2, 0.3, 0.4):
-        fleet = up(4, ALONE)
+        fleet = settled_fleet(4, ONE_AGGREGATOR)
 
-        def later(fleet: FleetWorld = fleet, delay: float = delay) -> None:
+        def cut_off_later(fleet: FleetWorld = fleet, delay: float = delay) -> None:
             fleet.world.at(fleet.world.now() + delay, lambda: fleet.cut_off("r4", ("a0",)))
 
-        at_stage(fleet, Stage.AGREED, later)
-        found += complaints(fleet, fleet.change(b"second"))
+        at_stage(fleet, Stage.AGREED, cut_off_later)
+        found += violations(fleet, fleet.change(b"second"))
     return found
 
 
-def killed_and_started_beside_a_stray() -> list[str]:
-    """The new incarnation knows nothing of a router that the old one gave a sub-lease, and that hears nobody."""
-    fleet = up(5, ALONE)
+def aggregator_restarts_while_its_router_is_cut_off() -> list[str]:
+    """The new incarnation does not know of the router, which holds a sub-lease of the old one."""
+    fleet = settled_fleet(5, ONE_AGGREGATOR)
     fleet.cut_off("r4", ("a0",))
     fleet.run(0.1)
     fleet.kill("a0")
     fleet.start("a0")
-    return complaints(fleet, fleet.change(b"second"))
+    return violations(fleet, fleet.change(b"second"))
 
 
-def slow_links() -> list[str]:
-    """Answers take a while, first to routers and then to the aggregator; then nothing comes through."""
-    fleet = up(6, ALONE)
+def aggregator_on_slow_links() -> list[str]:
+    """Answers to the aggregator and its routers are delayed; then nothing that it sends reaches the voters."""
+    fleet = settled_fleet(6, ONE_AGGREGATOR)
     for relay in fleet.links("a0"):
         relay.fault("back", "delay", 0.4)
     fleet.run(2 * LEASE)
     fleet.cut_off("a0", fleet.voters, "there")
     fleet.run(0.5)
-    return complaints(fleet, fleet.change(b"second"))
+    return violations(fleet, fleet.change(b"second"))
 
 
-def a_router_on_a_slow_link() -> list[str]:
-    """While leases run out it gets one that is over on its arrival, in place of a longer one."""
+def router_on_slow_link() -> list[str]:
+    """While leases are short a router gets one that has ended when it arrives, in place of a longer one."""
     found = []
     for step in range(10):
-        fleet = up(15, ALONE)
+        fleet = settled_fleet(15, ONE_AGGREGATOR)
         for relay in fleet.links("r4", ("a0",)):
             relay.fault("there", "delay", 0.3 + 0.02 * step)
         fleet.run(LEASE)
-        found += complaints(fleet, fleet.change(b"second"))
+        found += violations(fleet, fleet.change(b"second"))
     return found
 
 
-def clocks() -> list[str]:
-    """Clocks of voters are fast, of the aggregator slow, and of its routers fast or slow, as far as is stated."""
+def clocks_at_drift_bound() -> list[str]:
+    """The clocks of the voters are fast, that of the aggregator is slow, and those of its routers are fast or slow, as
+    far apart as `drift` allows."""
     found = []
     for step in range(8):
         rates = {"r0": 1.005, "r1": 1.005, "r2": 1.005, "a0": 0.995, "r3": 0.995, "r4": 1.005}
-        fleet = up(7, ALONE, rates)
+        fleet = settled_fleet(7, ONE_AGGREGATOR, rates)
 
-        def cut(fleet: FleetWorld = fleet) -> None:
+        def cut_off(fleet: FleetWorld = fleet) -> None:
             fleet.cut_off("r3")
             fleet.cut_off("a0", fleet.voters)
 
-        fleet.world.at(fleet.world.now() + 0.2 + 0.02 * step, cut)
-        found += complaints(fleet, fleet.change(b"second"))
+        fleet.world.at(fleet.world.now() + 0.2 + 0.02 * step, cut_off)
+        found += violations(fleet, fleet.change(b"second"))
     return found
 
 
-def a_router_refuses() -> list[str]:
-    fleet = up(8, PAIR)
+def router_refuses() -> list[str]:
+    """A router refuses the policy: the change is aborted, and the old policy stays in force."""
+    fleet = settled_fleet(8, TWO_AGGREGATORS)
     fleet.routers["r6"].reasons = ("no",)
-    found = complaints(fleet, fleet.change(b"second " + REFUSED), "aborted")
+    found = violations(fleet, fleet.change(b"second " + REFUSED), "aborted")
     return found + ([] if fleet.serving() == dict.fromkeys(fleet.names, 1) else ["not all serve"])
 
 
-def a_router_restarts_and_refuses() -> list[str]:
-    """It has accepted; its next incarnation, of another build, refuses. The change waits for somebody else."""
-    fleet = up(9, ALONE)
+def router_refuses_after_restart() -> list[str]:
+    """A router accepts and restarts; its next incarnation, of another build, refuses. Meanwhile the change waits for
+    another router, which is cut off."""
+    fleet = settled_fleet(9, ONE_AGGREGATOR)
 
     def restart() -> None:
         fleet.kill("r4")
@@ -187,14 +195,15 @@
 
     fleet.cut_off("r3")
     at_stage(fleet, Stage.CHECKING, lambda: fleet.world.at(fleet.world.now() + 0.2, restart))
-    return complaints(fleet, fleet.change(b"second " + REFUSED), "aborted")
+    return violations(fleet, fleet.change(b"second " + REFUSED), "aborted")
 
 
-def a_router_restarts_and_its_refusal_is_lost() -> list[str]:
-    """As before, and nothing comes through from it soon after: it has no sub-lease that it was not asked for."""
+def refusal_after_restart_is_lost() -> list[str]:
+    """As in `router_refuses_after_restart`, but soon after its restart nothing that the router sends arrives any more.
+    It must not get a sub-lease without a verdict of its own."""
     found = []
     for step in range(16):
-        fleet = up(13, ALONE)
+        fleet = settled_fleet(13, ONE_AGGREGATOR)
 
         def restart(fleet: FleetWorld = fleet, delay: float = 0.002 * step) -> None:
             fleet.kill("r4")
@@ -202,48 +211,48 @@
             fleet.start("r4")
             fleet.world.at(fleet.world.now() + delay, lambda: fleet.cut_off("r4", ("a0",), "there"))
 
-        def later(fleet: FleetWorld = fleet, restart: Callable[[], None] = restart) -> None:
+        def restart_later(fleet: FleetWorld = fleet, restart: Callable[[], None] = restart) -> None:
             fleet.world.at(fleet.world.now() + 0.2, restart)
 
         fleet.cut_off("r3")
-        at_stage(fleet, Stage.CHECKING, later)
+        at_stage(fleet, Stage.CHECKING, restart_later)
         fleet.change(b"second " + REFUSED)
         found += fleet.breaks
     return found
 
 
-def an_aggregator_restarts_beside_a_router_that_refuses() -> list[str]:
-    """Its old incarnation has accepted, for no router of it refused; a router that refuses comes to the new one. The
-    change waits for a router of another aggregator."""
-    fleet = up(10, PAIR, down=("r6",))
+def refusing_router_comes_to_restarted_aggregator() -> list[str]:
+    """An aggregator accepts, as none of its routers refuses, and restarts; a router that refuses comes to the new
+    incarnation. Meanwhile the change waits for a router of another aggregator, which is cut off."""
+    fleet = settled_fleet(10, TWO_AGGREGATORS, down=("r6",))
     fleet.routers["r6"].reasons = ("no",)
     preferred, standby = fleet.routers["r6"].aggregators
-    waited_for = fleet.clients_of(standby)[0]
+    cut_off_router = fleet.clients_of(standby)[0]
 
     def restart() -> None:
         fleet.kill(preferred)
         fleet.start(preferred)
         fleet.start("r6")
 
-    fleet.cut_off(waited_for)
+    fleet.cut_off(cut_off_router)
     at_stage(fleet, Stage.CHECKING, lambda: fleet.world.at(fleet.world.now() + 0.2, restart))
     fleet.change(b"second " + REFUSED)
     return fleet.breaks
 
 
-def a_router_that_refuses_comes_late() -> list[str]:
-    """Its aggregator has told that all accept; the change is still being decided, or has just been."""
+def refusing_router_starts_late() -> list[str]:
+    """A router that refuses starts after its aggregator has accepted, just before or after the change is decided."""
     found = []
     for delay in (0.0, 0.01, 0.02, 0.03, 0.04, 0.05, 0.06, 0.08, 0.1):
-        fleet = up(11, PAIR, down=("r6",))
+        fleet = settled_fleet(11, TWO_AGGREGATORS, down=("r6",))
         fleet.routers["r6"].reasons = ("no",)
 
-        def later(fleet: FleetWorld = fleet, delay: float = delay) -> None:
+        def start_later(fleet: FleetWorld = fleet, delay: float = delay) -> None:
             fleet.world.at(fleet.world.now() + delay, lambda: fleet.start("r6"))
 
-        at_stage(fleet, Stage.CHECKING, later)
+        at_stage(fleet, Stage.CHECKING, start_later)
         result = fleet.change(b"second " + REFUSED)
-        fleet.run(SETTLED)
+        fleet.run(SETTLE_TIME)
         found += fleet.breaks
         if result == "in force" and "r6" in fleet.serving():
             found.append("r6 serves a policy that it refuses, or an old one")
@@ -251,29 +260,31 @@
 
 
 SCENARIOS = (
-    a_change,
-    a_router_restarts_after_the_switch,
-    cut_off_from_voters,
-    cut_off_from_voters_while_leases_run_out,
-    a_router_is_cut_off_while_leases_run_out,
-    a_router_is_cut_off_before_the_switch,
-    killed_and_started_beside_a_stray,
-    slow_links,
-    a_router_on_a_slow_link,
-    clocks,
-    a_router_refuses,
-    a_router_restarts_and_refuses,
-    a_router_restarts_and_its_refusal_is_lost,
-    an_aggregator_restarts_beside_a_router_that_refuses,
-    a_router_that_refuses_comes_late,
+    change_with_all_members_up,
+    router_restarts_after_switch,
+    aggregator_cut_off_from_voters,
+    aggregator_cut_off_during_closing,
+    router_cut_off_during_closing,
+    router_cut_off_before_switch,
+    aggregator_restarts_while_its_router_is_cut_off,
+    aggregator_on_slow_links,
+    router_on_slow_link,
+    clocks_at_drift_bound,
+    router_refuses,
+    router_refuses_after_restart,
+    refusal_after_restart_is_lost,
+    refusing_router_comes_to_restarted_aggregator,
+    refusing_router_starts_late,
 )
 
 
-# ---- bugs
+# ---- bugs: each function replaces one method by a faulty one
 
 
-def a_sub_lease_longer_than_its_parents(patch: Patch) -> None:
-    def contained(self: SubLeaseTable, now: float, terms: Terms) -> SubLease:
+def sub_lease_exceeds_window(patch: Patch) -> None:
+    """A sub-lease always has full length, however soon the aggregator's own lease ends."""
+
+    def longest_sub_lease(self: SubLeaseTable, now: float, terms: Terms) -> SubLease:
         current, coming = terms.current, terms.coming
         begin = max(0.0, coming.begin - now) if coming is not None else 0.0
         return SubLease(
@@ -284,13 +295,14 @@
             self.lease + begin if coming is not None else 0.0,
         )
 
-    patch.setattr(SubLeaseTable, "_longest_sub_lease", contained)
+    patch.setattr(SubLeaseTable, "_longest_sub_lease", longest_sub_lease)
 
 
-def a_verdict_believed_from_an_older_incarnation(patch: Patch) -> None:
-    real = HolderTable.record_request
+def verdict_taken_from_older_incarnation(patch: Patch) -> None:
+    """The verdict of a holder's older incarnation counts for the new one."""
+    real_record_request = HolderTable.record_request
 
-    def heard(self: HolderTable, now: float, entry: Entry, request: LeaseRequest) -> None:
+    def record_request(self: HolderTable, now: float, entry: Entry, request: LeaseRequest) -> None:
         for older in self.entries.values():
             if (
                 older.name == entry.name
@@ -298,153 +310,166 @@
                 and entry.change != older.change
             ):
                 entry.change, entry.verdict = older.change, older.verdict
-        real(self, now, entry, request)
+        real_record_request(self, now, entry, request)
 
-    patch.setattr(HolderTable, "record_request", heard)
+    patch.setattr(HolderTable, "record_request", record_request)
 
 
-def a_seal_forgotten(patch: Patch) -> None:
-    real = SubLeaseTable.seal
+def seal_forgotten(patch: Patch) -> None:
+    """Routers that have not accepted a sealed change get sub-leases."""
+    real_seal = SubLeaseTable.seal
 
     def seal(self: SubLeaseTable, now: float) -> bool:
-        sealed = real(self, now)
+        sealed = real_seal(self, now)
         self.sealed = ""
         return sealed
 
     patch.setattr(SubLeaseTable, "seal", seal)
 
 
-def a_grant_on_the_old_epoch_after_the_switch(patch: Patch) -> None:
-    real = ParentLease.current_window
+def old_epoch_granted_after_switch(patch: Patch) -> None:
+    """After a switch the aggregator goes on to grant the old epoch."""
+    real_current_window = ParentLease.current_window
 
-    def current(self: ParentLease, now: float) -> Window | None:
-        window = real(self, now)
+    def current_window(self: ParentLease, now: float) -> Window | None:
+        window = real_current_window(self, now)
         if window is None or window.epoch == 1:
             return window
         return replace(window, epoch=window.epoch - 1)
 
-    def forget(self: ParentLease) -> None:
+    def forget_old_epochs(self: ParentLease) -> None:
         return
 
-    patch.setattr(ParentLease, "current_window", current)
-    patch.setattr(ParentLease, "_forget_old_epochs", forget)
+    patch.setattr(ParentLease, "current_window", current_window)
+    patch.setattr(ParentLease, "_forget_old_epochs", forget_old_epochs)
+
 
+def older_grants_dropped_too_early(patch: Patch) -> None:
+    """Older grants are dropped while sub-leases that end after the newest windows are outstanding."""
 
-def older_grants_given_up_while_longer_sub_leases_are_out(patch: Patch) -> None:
-    def give_up(self: Aggregator, now: float) -> None:
+    def drop_older_grants(self: Aggregator, now: float) -> None:
         self.parent.drop_older_grants()
 
-    patch.setattr(Aggregator, "_drop_older_grants", give_up)
+    patch.setattr(Aggregator, "_drop_older_grants", drop_older_grants)
+
 
+def grant_counted_from_receipt(patch: Patch) -> None:
+    """A grant counts from the arrival of the answer in place of the sending of the request."""
+    real_record_answer = LeaseHolder._record_answer
 
-def counted_from_receipt(patch: Patch) -> None:
-    real = LeaseHolder._record_answer
+    def record_answer(self: LeaseHolder, now: float, name: str, sent_at: float, grant: LeaseGrant) -> None:
+        real_record_answer(self, now, name, now, grant)
 
-    def count(self: LeaseHolder, now: float, name: str, sent: float, grant: LeaseGrant) -> None:
-        real(self, now, name, now, grant)
+    patch.setattr(LeaseHolder, "_record_answer", record_answer)
 
-    patch.setattr(LeaseHolder, "_record_answer", count)
 
+def earlier_end_not_announced(patch: Patch) -> None:
+    """A router does not stop when its lease ends before the end that was announced last."""
 
-def an_end_that_comes_sooner_is_not_told(patch: Patch) -> None:
-    def stop(self: LeaseClient, now: float, refused: bool, told: list[holder.Action]) -> None:
+    def stop_serving(self: LeaseClient, now: float, has_lease: bool, decided: list[holder.Action]) -> None:
         return
 
-    patch.setattr(LeaseClient, "_stop_serving", stop)
+    patch.setattr(LeaseClient, "_stop_serving", stop_serving)
 
 
-def drift_left_out(patch: Patch) -> None:
-    real_table, real_holder = SubLeaseTable.__init__, LeaseHolder.__init__
+def drift_ignored(patch: Patch) -> None:
+    """Neither aggregators nor holders allow for the drift of clocks."""
+    real_table_init = SubLeaseTable.__init__
+    real_holder_init = LeaseHolder.__init__
 
-    def table(self: SubLeaseTable, lease: float, drift: float) -> None:
-        real_table(self, lease, 0.0)
+    def table_init(self: SubLeaseTable, lease: float, drift: float) -> None:
+        real_table_init(self, lease, 0.0)
 
-    def holder_(
+    def holder_init(
         self: LeaseHolder, grantors: tuple[str, ...], lease: float, drift: float, random: Random
     ) -> None:
-        real_holder(self, grantors, lease, 0.0, random)
+        real_holder_init(self, grantors, lease, 0.0, random)
 
-    patch.setattr(SubLeaseTable, "__init__", table)
-    patch.setattr(LeaseHolder, "__init__", holder_)
+    patch.setattr(SubLeaseTable, "__init__", table_init)
+    patch.setattr(LeaseHolder, "__init__", holder_init)
 
 
-def a_lease_of_an_older_incarnation_is_forgotten(patch: Patch) -> None:
-    real = HolderTable.record_request
+def lease_of_older_incarnation_forgotten(patch: Patch) -> None:
+    """A grantor forgets the leases of a holder's older incarnations."""
+    real_record_request = HolderTable.record_request
 
-    def heard(self: HolderTable, now: float, entry: Entry, request: LeaseRequest) -> None:
+    def record_request(self: HolderTable, now: float, entry: Entry, request: LeaseRequest) -> None:
         for key, older in list(self.entries.items()):
             if older.name == entry.name and older is not entry:
                 del self.entries[key]
                 for index in (self.lease_ends, self.unanswered, self.refusing):
                     index.discard(key)
-        real(self, now, entry, request)
+        real_record_request(self, now, entry, request)
 
-    patch.setattr(HolderTable, "record_request", heard)
+    patch.setattr(HolderTable, "record_request", record_request)
 
 
-def the_next_epoch_begins_at_once(patch: Patch) -> None:
-    real = SubLeaseTable._longest_sub_lease
+def next_epoch_begins_at_once(patch: Patch) -> None:
+    """A sub-lease on the next epoch begins at once, not when the window for that epoch does."""
+    real_longest_sub_lease = SubLeaseTable._longest_sub_lease
 
-    def contained(self: SubLeaseTable, now: float, terms: Terms) -> SubLease:
-        given = real(self, now, terms)
-        return replace(given, epoch=0, ttl=0.0, begin=0.0) if given.next_epoch else given
+    def longest_sub_lease(self: SubLeaseTable, now: float, terms: Terms) -> SubLease:
+        sub_lease = real_longest_sub_lease(self, now, terms)
+        return replace(sub_lease, epoch=0, ttl=0.0, begin=0.0) if sub_lease.next_epoch else sub_lease
 
-    patch.setattr(SubLeaseTable, "_longest_sub_lease", contained)
+    patch.setattr(SubLeaseTable, "_longest_sub_lease", longest_sub_lease)
 
 
-def accepted_before_all_have_answered(patch: Patch) -> None:
-    def accepted(self: SubLeaseTable, now: float) -> bool:
+def accepted_before_all_answered(patch: Patch) -> None:
+    """An aggregator accepts a change before its routers have answered."""
+
+    def accepted_by_all(self: SubLeaseTable, now: float) -> bool:
         return True
 
-    patch.setattr(SubLeaseTable, "accepted_by_all", accepted)
+    patch.setattr(SubLeaseTable, "accepted_by_all", accepted_by_all)
 
 
-def one_voter_is_enough_for_an_aggregator(patch: Patch) -> None:
+def one_voter_is_a_majority(patch: Patch) -> None:
+    """An aggregator needs the lease of one voter only."""
     patch.setattr(parent_lease, "majority", lambda voters: 1)
 
 
 @dataclass(frozen=True, slots=True)
-class Planted:
-    """A bug, and the scenarios that catch it."""
+class InjectedBug:
+    """A bug, and the scenarios that have to find it."""
 
-    plant: Callable[[Patch], None]
-    caught_by: tuple[Callable[[], list[str]], ...]
+    inject: Callable[[Patch], None]
+    found_by: tuple[Callable[[], list[str]], ...]
 
 
 BUGS = (
-    Planted(
-        a_sub_lease_longer_than_its_parents, (cut_off_from_voters, cut_off_from_voters_while_leases_run_out)
-    ),
-    Planted(a_verdict_believed_from_an_older_incarnation, (a_router_restarts_and_its_refusal_is_lost,)),
-    Planted(a_seal_forgotten, (a_router_that_refuses_comes_late,)),
-    Planted(a_grant_on_the_old_epoch_after_the_switch, (a_router_restarts_after_the_switch,)),
-    Planted(
-        older_grants_given_up_while_longer_sub_leases_are_out, (a_router_is_cut_off_while_leases_run_out,)
+    InjectedBug(
+        sub_lease_exceeds_window, (aggregator_cut_off_from_voters, aggregator_cut_off_during_closing)
     ),
-    Planted(counted_from_receipt, (slow_links,)),
-    Planted(an_end_that_comes_sooner_is_not_told, (a_router_on_a_slow_link,)),
-    Planted(drift_left_out, (clocks,)),
-    Planted(a_lease_of_an_older_incarnation_is_forgotten, (killed_and_started_beside_a_stray,)),
-    Planted(the_next_epoch_begins_at_once, (a_router_is_cut_off_before_the_switch,)),
-    Planted(accepted_before_all_have_answered, (a_router_refuses,)),
-    Planted(one_voter_is_enough_for_an_aggregator, (cut_off_from_voters,)),
+    InjectedBug(verdict_taken_from_older_incarnation, (refusal_after_restart_is_lost,)),
+    InjectedBug(seal_forgotten, (refusing_router_starts_late,)),
+    InjectedBug(old_epoch_granted_after_switch, (router_restarts_after_switch,)),
+    InjectedBug(older_grants_dropped_too_early, (router_cut_off_during_closing,)),
+    InjectedBug(grant_counted_from_receipt, (aggregator_on_slow_links,)),
+    InjectedBug(earlier_end_not_announced, (router_on_slow_link,)),
+    InjectedBug(drift_ignored, (clocks_at_drift_bound,)),
+    InjectedBug(lease_of_older_incarnation_forgotten, (aggregator_restarts_while_its_router_is_cut_off,)),
+    InjectedBug(next_epoch_begins_at_once, (router_cut_off_before_switch,)),
+    InjectedBug(accepted_before_all_answered, (router_refuses,)),
+    InjectedBug(one_voter_is_a_majority, (aggregator_cut_off_from_voters,)),
 )
 
 
-@pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda one: one.__name__)
-def test_nothing_to_complain_of(scenario: Callable[[], list[str]]) -> None:
+@pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
+def test_a_scenario_finds_no_violation_without_a_bug(scenario: Callable[[], list[str]]) -> None:
     assert scenario() == []
 
 
-def found_by(scenario: Callable[[], list[str]]) -> list[str]:
+def violations_or_assertion(scenario: Callable[[], list[str]]) -> list[str]:
+    """The violations that a scenario finds, or the assertion of the program that fails during it."""
     try:
         return scenario()
-    except AssertionError as error:  # one of the program's own
+    except AssertionError as error:
         return [f"assertion: {error}"]
 
 
-@pytest.mark.parametrize("planted", BUGS, ids=lambda one: one.plant.__name__)
-def test_a_planted_bug_is_caught(planted: Planted, monkeypatch: Patch) -> None:
-    planted.plant(monkeypatch)
-    for scenario in planted.caught_by:
-        assert found_by(scenario), f"{scenario.__name__} finds nothing"
+@pytest.mark.parametrize("bug", BUGS, ids=lambda bug: bug.inject.__name__)
+def test_an_injected_bug_is_found(bug: InjectedBug, monkeypatch: Patch) -> None:
+    bug.inject(monkeypatch)
+    for scenario in bug.found_by:
+        assert violations_or_assertion(scenario), f"{scenario.__name__} finds nothing"
