--- a/tests/test_fleet_world.py
+++ b/tests/test_fleet_world.py
@@ -1,4 +1,7 @@
-"""A fleet in virtual time: changes through kills, cuts, clocks and disks that go wrong, one seed after another."""
+"""A fleet in virtual time: changes of policy while members are killed or cut off, and clocks and disks go wrong.
+
+`fleet.breaks` lists the invariants that were broken; they are described in rig/world_judge.py.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,8 @@
 from banklift.rig.world import REFUSED, FleetWorld
 
 
-def up(seed: int, routers: int = 5, voters: int = 3) -> FleetWorld:
+def settled_fleet(seed: int, routers: int = 5, voters: int = 3) -> FleetWorld:
+    """A fleet without aggregators whose routers all serve epoch 1."""
     fleet = FleetWorld(seed, routers, voters)
     for name in fleet.names:
         fleet.start(name)
@@ -17,8 +21,8 @@
     return fleet
 
 
-def test_a_change_takes_hold_on_all() -> None:
-    fleet = up(1)
+def test_a_change_takes_hold_on_all_routers() -> None:
+    fleet = settled_fleet(1)
     begin = fleet.world.now()
     assert fleet.change(b"second") == "in force"
     assert fleet.world.now() - begin < 3.0
@@ -27,8 +31,8 @@
     assert fleet.breaks == [] and fleet.cases["never mixed: adopted while another served"] > 0
 
 
-def test_one_that_refuses_stops_it_everywhere() -> None:
-    fleet = up(2)
+def test_a_change_is_aborted_if_one_router_refuses() -> None:
+    fleet = settled_fleet(2)
     fleet.routers["r4"].reasons = ("$.classes: not in this build",)
     assert fleet.change(b"second " + REFUSED) == "aborted"
     fleet.run(5.0)
@@ -37,8 +41,8 @@
     assert fleet.breaks == []
 
 
-def test_one_that_is_down_comes_back_under_the_new_one() -> None:
-    fleet = up(3)
+def test_a_router_that_was_down_during_a_change_serves_the_new_policy() -> None:
+    fleet = settled_fleet(3)
     fleet.kill("r4")
     assert fleet.change(b"second") == "in force"
     fleet.start("r4")
@@ -48,8 +52,8 @@
 
 
 @pytest.mark.parametrize("way", [None, "there", "back"])
-def test_one_that_is_cut_off_stops_by_itself(way: str | None) -> None:
-    fleet = up(4)
+def test_a_router_that_is_cut_off_stops_by_itself(way: str | None) -> None:
+    fleet = settled_fleet(4)
     for voter in fleet.voters:
         for each in ("there", "back") if way is None else (way,):
             fleet.relays["r4", voter].fault(each, "stall")
@@ -62,8 +66,8 @@
     assert fleet.breaks == []
 
 
-def test_a_minority_of_voters_changes_nothing() -> None:
-    fleet = up(5)
+def test_a_change_does_not_take_hold_without_a_majority_of_voters() -> None:
+    fleet = settled_fleet(5)
     fleet.kill("r0")
     fleet.kill("r1")
     assert fleet.change(b"second", voter="r2", seconds=15.0) == "unknown"
@@ -72,8 +76,8 @@
     assert fleet.breaks == []
 
 
-def test_all_voters_killed_and_started_again() -> None:
-    fleet = up(6)
+def test_all_voters_restart_at_once() -> None:
+    fleet = settled_fleet(6)
     assert fleet.change(b"second") == "in force"
     for name in fleet.voters:
         fleet.kill(name)
@@ -87,8 +91,8 @@
 
 
 @pytest.mark.parametrize("state", ["gone", "yesterday"])
-def test_a_voter_whose_disk_lost_its_state_learns_it_before_it_votes(state: str) -> None:
-    fleet = up(7)
+def test_a_voter_with_a_lost_or_old_disk_reads_the_state_from_others_before_it_votes(state: str) -> None:
+    fleet = settled_fleet(7)
     for number in range(3):
         assert fleet.change(b"policy %d" % number) == "in force"
     fleet.kill("r0")
@@ -102,9 +106,9 @@
     assert fleet.breaks == []
 
 
-def test_with_one_voter_gone_another_that_starts_does_not_vote() -> None:
-    """Its disk may be yesterday's, and nobody could tell."""
-    fleet = up(8)
+def test_a_restarted_voter_does_not_vote_while_another_one_is_down() -> None:
+    """The disk of the restarted voter may have been rolled back, and one other voter is too few to rule this out."""
+    fleet = settled_fleet(8)
     fleet.kill("r0")
     fleet.kill("r1")
     fleet.start("r1")
@@ -116,8 +120,8 @@
     assert fleet.breaks == []
 
 
-def test_a_voter_whose_disk_fails_while_it_rejoins_votes_once_it_is_mended() -> None:
-    fleet = up(10)
+def test_a_voter_whose_disk_fails_while_it_rejoins_votes_once_the_disk_works() -> None:
+    fleet = settled_fleet(10)
     fleet.kill("r2")
     disk = fleet.routers["r2"].disk
     disk.content, disk.fault = b"torn", "EIO"
@@ -130,14 +134,15 @@
     assert fleet.breaks == []
 
 
-def test_two_of_one_name() -> None:
-    fleet = up(9)
-    double = fleet.add_router("r4 twice", name="r4")
+def test_a_second_router_of_the_same_name_has_to_end() -> None:
+    """A restarted router does not count as a second one."""
+    fleet = settled_fleet(9)
+    second = fleet.add_router("r4 twice", name="r4")
     fleet.start("r4 twice")
     fleet.run(3.0)
-    assert "is here already" in double.ousted
+    assert "is here already" in second.ousted
     assert fleet.serving()["r4"] == 1
-    fleet.kill("r4")  # a restart is no double
+    fleet.kill("r4")
     fleet.start("r4")
     fleet.run(3.0)
     assert fleet.serving() == dict.fromkeys(fleet.names, 1) and not fleet.routers["r4"].ousted
@@ -145,28 +150,31 @@
 
 @pytest.mark.parametrize("way", [None, "there", "back"])
 @pytest.mark.parametrize("member", ["r4", "a0"])
-def test_late_words_of_a_dead_process_oust_no_restart(member: str, way: str | None) -> None:
-    """It is killed and started while its links are stalled; what the dead process had sent comes with the new one's."""
-    for before in (0.3, 0.8, 1.5, 2.5):
-        for after in (0.05, 0.3, 1.0):
+def test_late_messages_of_a_dead_process_do_not_end_its_successor(member: str, way: str | None) -> None:
+    """A member restarts while its links are stalled, so messages of the dead process arrive with those of the new one.
+
+    The links stall for `stalled_before` seconds before the restart and for `stalled_after` seconds after it.
+    """
+    for stalled_before in (0.3, 0.8, 1.5, 2.5):
+        for stalled_after in (0.05, 0.3, 1.0):
             fleet = FleetWorld(1, 6, 3, aggregators=1 if member == "a0" else 0)
             for key in fleet.members:
                 fleet.start(key)
             fleet.run(6.0)
             fleet.cut_off(member, way=way)
-            fleet.run(before)
+            fleet.run(stalled_before)
             fleet.kill(member)
             fleet.start(member)
-            fleet.run(after)
+            fleet.run(stalled_after)
             fleet.heal()
             fleet.run(6.0)
-            assert fleet.members[member].ousted == "", (before, after)
-            assert fleet.serving() == dict.fromkeys(fleet.names, 1), (before, after)
+            assert fleet.members[member].ousted == "", (stalled_before, stalled_after)
+            assert fleet.serving() == dict.fromkeys(fleet.names, 1), (stalled_before, stalled_after)
 
 
 @pytest.mark.parametrize("pause", [0.0, 0.05, 0.1, 0.2, 0.4])
 @pytest.mark.parametrize("member", ["r4", "a0"])
-def test_one_that_restarts_again_and_again_is_no_double(member: str, pause: float) -> None:
+def test_a_member_that_restarts_repeatedly_does_not_count_as_a_second_one(member: str, pause: float) -> None:
     for stalled in (False, True):
         fleet = FleetWorld(1, 6, 3, aggregators=1 if member == "a0" else 0)
         for key in fleet.members:
@@ -187,9 +195,11 @@
 
 @pytest.mark.parametrize("way", ["there", "back"])
 @pytest.mark.parametrize("aggregators", [0, 1])
-def test_a_short_lease_that_has_ended_when_it_comes_ends_the_longer_one(aggregators: int, way: str) -> None:
-    """While leases run out, a router on a slow link gets a lease that is over on its arrival, and gives up the longer
-    one that it had: it has to stop at once."""
+def test_a_router_stops_at_once_when_it_gives_up_a_longer_lease_for_one_that_has_ended(
+    aggregators: int, way: str
+) -> None:
+    """While leases are short, a router on a slow link gets a lease that has ended when it arrives. With it the router
+    gives up the longer lease that it held, so it has to stop serving at once."""
     for step in range(16):
         fleet = FleetWorld(1, 5, 3, aggregators=aggregators)
         for key in fleet.members:
@@ -204,8 +214,8 @@
 
 
 @pytest.mark.parametrize("seeds", [range(place, place + 10) for place in range(0, 40, 10)])
-def test_faults_of_all_kinds_together(seeds: range) -> None:
-    """More seeds: `python -m banklift.rig.seeds --direct --from 0 --count 200`."""
+def test_random_faults_of_all_kinds(seeds: range) -> None:
+    """To run more seeds: `python -m banklift.rig.seeds --direct --from 0 --count 200`."""
     reports = [play(seed, aggregated=False) for seed in seeds]
     assert {report.seed: report.faults for report in reports if report.faults} == {}
     cases = total(reports)
