--- a/banklift/fleet/aggregator.py
+++ b/banklift/fleet/aggregator.py
@@ -71,9 +71,9 @@
 class Aggregator:
     """The leases of one aggregator, towards voters and routers.
 
-    `lease`: seconds that a voter's lease lasts at rest. `sub_lease`: seconds that a sub-lease lasts at most.
-    `drift`: bound on the relative rate of two clocks, a fraction. Each event method takes the time of the event and
-    returns the actions to perform, in order.
+    `lease`: seconds that a voter's lease lasts while no change is under way. `sub_lease`: seconds that a sub-lease
+    lasts at most. `drift`: bound on the relative rate of two clocks, a fraction. Each event method takes the time of
+    the event and returns the actions to perform, in order.
     """
 
     def __init__(
@@ -246,7 +246,7 @@
             self.actions += self.parent.request_all(now)
 
     def _announce_windows(self, now: float) -> None:
-        """Tell routers to renew when the begin of the next epoch becomes known, or when there is a lease again."""
+        """Tell routers to renew when the start of the next epoch becomes known, or when there is a lease again."""
         coming = self.parent.coming_window(now)
         if coming is not None and coming.epoch > self.announced_epoch:
             self.announced_epoch = coming.epoch
--- a/banklift/fleet/holder.py
+++ b/banklift/fleet/holder.py
@@ -14,8 +14,10 @@
 | state | event | next state | what is sent |
 | --- | --- | --- | --- |
 | no link | the link is up | waiting | a request |
-| answered | the renewal is due, or `RenewNow` came | waiting | a request |
-| waiting | the answer came | answered; the renewal is due after a third of the grant, or half of a short one | - |
+| answered | the next request is due, or `RenewNow` came | waiting | a request |
+| waiting | a grant came | answered; the renewal is due after a third of the grant, or half of a short one | - |
+| waiting | an answer without lease or reason came | answered; the next request is due after a third of a lease | - |
+| waiting | a refusal came | answered; the next request is due after a wait that doubles with each refusal | - |
 | waiting | the request is due again without an answer | waiting | another request, with exponential back-off |
 | waiting | no answer for `stall_time`, twice as long the next time | no link | `Stalled`: the link is made again |
 | any | the link is down | no link; what the grantor granted stays valid | - |
@@ -41,7 +43,8 @@
 # Shortest wait before a renewal, as a fraction of a lease. Before an epoch ends each grant gives only what is left
 # of it, so waits that depend on the grant alone would shrink towards zero.
 MIN_RENEWAL_WAIT_FRACTION = 1 / 50
-# First wait after a refusal before the next request, as a fraction of a lease.
+# First wait after a refusal before the next request, as a fraction of a lease. Clients that are turned away for lack
+# of a lease are also told to try again after this time.
 RETRY_PART = 1 / 20
 # A link counts as stalled when a request has had no answer for this fraction of a lease.
 STALL_TIME_FRACTION = 1 / 4
@@ -153,8 +156,8 @@
 class LeaseHolder:
     """Requests leases from `grantors` and renews them; subclasses decide what the leases are used for.
 
-    `lease`: seconds that a lease lasts at rest. `drift`: bound on the relative rate of two clocks, a fraction.
-    Each event method takes the time of the event and returns the actions to perform, in order.
+    `lease`: seconds that a lease lasts while no change is under way. `drift`: bound on the relative rate of two
+    clocks, a fraction. Each event method takes the time of the event and returns the actions to perform, in order.
     """
 
     def __init__(self, grantors: tuple[str, ...], lease: float, drift: float, random: Random) -> None:
--- a/banklift/fleet/holder_table.py
+++ b/banklift/fleet/holder_table.py
@@ -10,7 +10,7 @@
 recognised by its number and changes nothing.
 
 Cost. Ends of leases and verdicts on a change are indexed (end_index.py): a message costs O(log n) in the number of
-holders, and only the begin of a change looks at all of them.
+holders, and only the start of a change looks at all of them.
 """
 
 from __future__ import annotations
@@ -67,9 +67,8 @@
     last_number: int = 0  # number of its newest message
     outstanding: dict[int, OutstandingGrant] = field(default_factory=dict)  # by the number of the request
     change: str = ""  # id of the change that its verdict is on
-    verdict: tuple[str, ...] | None = (
-        None  # reasons against that change, none if it accepts; None: no verdict yet
-    )
+    # Reasons against that change, an empty tuple if it accepts; None: it has given no verdict yet.
+    verdict: tuple[str, ...] | None = None
     closing_epoch: int = 0  # the last epoch on which it was granted a short lease
     held_policies: tuple[str, ...] = ()  # digests of the policies whose text it has
     summary: Summary | None = None  # of an aggregator: counts of its own holders
--- a/banklift/fleet/lease.py
+++ b/banklift/fleet/lease.py
@@ -51,7 +51,8 @@
     """The leases of one router.
 
     `grantors`: all voters; or, with `uses_aggregators`, aggregators in order of preference, of which one is enough.
-    `lease`: seconds that a lease lasts at rest. `drift`: bound on the relative rate of two clocks, a fraction.
+    `lease`: seconds that a lease lasts while no change is under way. `drift`: bound on the relative rate of two
+    clocks, a fraction.
     `check`: returns the reasons of this router against a policy, none if it can serve it.
     """
 
@@ -107,7 +108,7 @@
         return actions
 
     def due(self, now: float) -> float:
-        """When `wake` next has something to do: a request, the begin of a next epoch, or the end of the lease."""
+        """When `wake` next has something to do: a request, the start of a next epoch, or the end of the lease."""
         due = super().due(now)
         for grantor in self.grantors.values():
             grant = grantor.newest_grant
@@ -328,7 +329,7 @@
 
     def _next_epoch_is_imminent(self, now: float) -> bool:
         """Whether enough leases on a next epoch begin within one lease: each change has a short gap between the end
-        of one epoch and the begin of the next, which is no loss of leases."""
+        of one epoch and the start of the next, which is no loss of leases."""
         begins_soon = (
             now < grantor.newest_grant.next_begins_at < now + self.lease
             for grantor in self.grantors.values()
--- a/banklift/fleet/lease_table.py
+++ b/banklift/fleet/lease_table.py
@@ -33,11 +33,11 @@
 (`restarted`).
 
 Sealing. A change is agreed only when every holder of a lease has accepted it. A voter that has reported this
-(`sealed`) gives no lease to other holders until the change is decided. So every holder of leases from a
-majority at that time is among those that were asked.
+(`sealed`) gives no lease to other holders until the change is decided. So every holder of leases from a majority at
+that time is among those that were asked.
 
 Cost. Ends of leases and verdicts on a change are indexed (end_index.py), so a request costs O(log n) in the number
-of holders in every stage; only the begin of a change looks at all of them.
+of holders in every stage; only the start of a change looks at all of them.
 """
 
 from __future__ import annotations
@@ -65,8 +65,8 @@
 def closing_lease(lease: float, answer_time: float = 0.0) -> float:
     """Seconds that a short lease lasts, that is, one granted while a change takes hold.
 
-    `lease`: seconds that a lease lasts at rest. `answer_time`: seconds in which half of the holders answered the
-    check of the change; they will again all renew at one moment.
+    `lease`: seconds that a lease lasts while no change is under way. `answer_time`: seconds in which half of the
+    holders answered the check of the change; they will again all renew at one moment.
     """
     least = max(CLOSING_LEASE_FRACTION * lease, MIN_CLOSING_LEASE_S, CLOSING_LEASE_ANSWER_TIMES * answer_time)
     return max(CLOSING_LEASE_FRACTION * lease, min(least, MAX_CLOSING_LEASE_FRACTION * lease))
@@ -91,7 +91,8 @@
 class LeaseTable(HolderTable):
     """The leases of one voter.
 
-    `lease`: seconds that a lease lasts at rest. `drift`: bound on the relative rate of two clocks, a fraction.
+    `lease`: seconds that a lease lasts while no change is under way. `drift`: bound on the relative rate of two
+    clocks, a fraction.
     """
 
     def __init__(self, lease: float, drift: float) -> None:
@@ -271,9 +272,11 @@
     ) -> LeaseGrant:
         """The answer to a request with these terms, and with the newest state and the policies that are missing."""
         state, change = self.state, self.change
-        policy, change_policy = self.digests
-        current = change_policy if change is not None and self.granting >= change.epoch else policy
-        next_policy = change_policy if next_epoch else ""
+        policy_digest, change_digest = self.digests
+        current_digest = (
+            change_digest if change is not None and self.granting >= change.epoch else policy_digest
+        )
+        next_digest = change_digest if next_epoch else ""
         return LeaseGrant(
             number=request.number,
             epoch=self.granting,
@@ -281,13 +284,13 @@
             next_epoch=next_epoch,
             begin=begin,
             next_ttl=next_ttl,
-            digests=(current, next_policy),
+            digests=(current_digest, next_digest),
             version=state.version if state is not None else 0,
             change=change.id if change is not None else "",
             stage=change.stage if change is not None else "",
             dry=change is not None and change.dry,
-            subject=change_policy,
-            policies=self._missing_policies(request.have, (current, change_policy)),
+            subject=change_digest,
+            policies=self._missing_policies(request.have, (current_digest, change_digest)),
             reason=reason,
         )
 
@@ -296,8 +299,8 @@
         if self.state is None:
             return ()
         found: list[bytes] = []
-        for policy, text in zip(self.digests, (self.state.policy, self._change_policy()), strict=True):
-            if policy and policy in needed and policy not in held:
+        for policy_digest, text in zip(self.digests, (self.state.policy, self._change_policy()), strict=True):
+            if policy_digest and policy_digest in needed and policy_digest not in held:
                 found.append(text)
         return tuple(found)
 
--- a/banklift/fleet/parent_lease.py
+++ b/banklift/fleet/parent_lease.py
@@ -50,8 +50,8 @@
 class ParentLease(LeaseHolder):
     """The lease of one aggregator from `voters`.
 
-    `lease`: seconds that a voter's lease lasts at rest. `drift`: bound on the relative rate of two clocks, a
-    fraction. `summary`: returns the counts of routers with a sub-lease, at a time, for the requests to the voters.
+    `lease`: seconds that a voter's lease lasts while no change is under way. `drift`: bound on the relative rate of two
+    clocks, a fraction. `summary`: returns the counts of routers with a sub-lease at the time given, for the requests.
     """
 
     def __init__(
