--- a/banklift/rig/capacity_results.py
+++ b/banklift/rig/capacity_results.py
@@ -172,7 +172,7 @@
     size: float,
 ) -> Slope:
     """A slope with its fit. Errors: `ValueError` with fewer than two points."""
-    fit = slopes.choose([slopes.Point(*point) for point in points])
+    fit = slopes.simplest_fit([slopes.Point(*point) for point in points])
     measured = next((cost for at, cost in points if at == size), None)
     value = fit.cost(size) if measured is None else measured
     return Slope(
--- a/banklift/rig/slopes.py
+++ b/banklift/rig/slopes.py
@@ -1,10 +1,12 @@
-"""How a measured cost grows with a size: the simplest form that explains the points. Pure.
+"""Fits how a measured cost grows with a size, and picks the simplest form that explains the measurements. Pure.
 
-Each form is fitted as `base + factor * g(size)` by least squares of the relative errors, so that a small size counts
-as much as a large one; neither part may be negative, as a cost is not. The residual is the root mean square of the
-relative errors. The simplest form is taken whose residual is within the noise of a measurement, or within
-`CLEARLY_WORSE` of the best one's: over a hundredfold range of sizes n and n log n with a base are hard to tell apart,
-and the page must not promise a distinction that the points do not show.
+Each form is fitted as `base + factor * growth_term(size)` by least squares of the relative errors, so that a small size
+counts as much as a large one. Neither coefficient may be negative, because no cost is negative. The residual is the
+root mean square of the relative errors.
+
+The simplest form is chosen whose residual is within the noise of a measurement (`NOISE_RESIDUAL`) or within
+`MAX_RESIDUAL_RATIO` times the smallest residual of all forms. Over a hundredfold range of sizes n and n log n with a
+base are hard to tell apart, and the capacity page must not report a distinction that the measurements do not support.
 """
 
 from __future__ import annotations
@@ -14,20 +16,20 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-NOISE = 0.15  # of a cost: how far repeated measurements of one size differ on a busy machine
-CLEARLY_WORSE = (
-    1.5  # residual of a simpler form over that of the best one, up to which the simpler one is taken
+NOISE_RESIDUAL = 0.15  # relative error by which repeated measurements of one size differ on a busy machine
+MAX_RESIDUAL_RATIO = (
+    1.5  # a simpler form is preferred while its residual over the smallest one is at most this
 )
-LEAST_POINTS = 2
+MIN_POINTS = 2  # measurements that a fit needs
 
 
-class Form(StrEnum):
-    """The simplest first."""
+class GrowthForm(StrEnum):
+    """How a cost grows with the size n, the simplest form first. The values appear in the results file."""
 
     FLAT = "flat"
     LINEAR = "n"
     LINEARITHMIC = "n log n"
-    SQUARE = "n squared"
+    QUADRATIC = "n squared"
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,89 +42,103 @@
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """A form with its two parts; `residual`: root mean square of the relative errors."""
+    """A fitted form. `base` has the unit of the cost, and so has `factor` times the growth term; `residual` is the root
+    mean square of the relative errors."""
 
-    form: Form
+    form: GrowthForm
     base: float
     factor: float
     residual: float
 
     def cost(self, size: float) -> float:
-        """The cost that the form gives for a size."""
-        return self.base + self.factor * growth(self.form, size)
+        """The cost that the fit predicts at a size, in the unit of the measured costs."""
+        return self.base + self.factor * growth_term(self.form, size)
 
 
-def growth(form: Form, size: float) -> float:
-    """What the factor of a form is multiplied by."""
+def growth_term(form: GrowthForm, size: float) -> float:
+    """The term that a fit multiplies by its factor: 0, n, n log2 n or n squared."""
     match form:
-        case Form.FLAT:
+        case GrowthForm.FLAT:
             return 0.0
-        case Form.LINEAR:
+        case GrowthForm.LINEAR:
             return size
-        case Form.LINEARITHMIC:
+        case GrowthForm.LINEARITHMIC:
             return size * math.log2(max(size, 1.0))
-        case Form.SQUARE:
+        case GrowthForm.QUADRATIC:
             return size * size
 
 
-def fit(form: Form, points: Sequence[Point]) -> Fit:
-    """The best parts for one form. Errors: `ValueError` with fewer than two points."""
-    if len(points) < LEAST_POINTS:
-        raise ValueError(f"{LEAST_POINTS} points at the least, not {len(points)}")
-    candidates = [_only_base(points)]
-    if form is not Form.FLAT:
-        candidates += [_only_factor(form, points), *_both(form, points)]
-    parts = [(base, factor) for base, factor in candidates if base >= 0 and factor >= 0]
-    fits = [Fit(form, base, factor, _residual(form, base, factor, points)) for base, factor in parts]
-    return min(fits, key=lambda one: one.residual)
+def fit_form(form: GrowthForm, points: Sequence[Point]) -> Fit:
+    """The fit of one form with the smallest residual.
+
+    Errors: `ValueError` with fewer than `MIN_POINTS` points.
+    """
+    if len(points) < MIN_POINTS:
+        raise ValueError(f"a fit needs at least {MIN_POINTS} points, got {len(points)}")
+    candidates = [_fit_base_only(points)]
+    if form is not GrowthForm.FLAT:
+        candidates += [_fit_factor_only(form, points), *_fit_base_and_factor(form, points)]
+    coefficients = [(base, factor) for base, factor in candidates if base >= 0 and factor >= 0]
+    fits = [Fit(form, base, factor, _residual(form, base, factor, points)) for base, factor in coefficients]
+    return min(fits, key=lambda fit: fit.residual)
 
 
-def choose(points: Sequence[Point]) -> Fit:
-    """The simplest form that explains the points as well as noise allows. Errors: as `fit`."""
-    fits = [fit(form, points) for form in Form]
-    allowed = max(NOISE, CLEARLY_WORSE * min(one.residual for one in fits))
-    return next(one for one in fits if one.residual <= allowed)
+def simplest_fit(points: Sequence[Point]) -> Fit:
+    """The fit of the simplest form that explains the points as well as noise allows.
+
+    Errors: `ValueError` with fewer than `MIN_POINTS` points.
+    """
+    fits = [fit_form(form, points) for form in GrowthForm]
+    max_residual = max(NOISE_RESIDUAL, MAX_RESIDUAL_RATIO * min(fit.residual for fit in fits))
+    return next(fit for fit in fits if fit.residual <= max_residual)
 
 
 def _weights(points: Sequence[Point]) -> list[float]:
-    """By which squared errors are multiplied to be relative ones. A cost of zero was too small to be seen; its error is
-    taken relative to the largest cost, as it would outweigh all others else."""
+    """The weights that turn squared errors into squared relative errors.
+
+    A cost of zero was too small for the clock to show. Its error is taken relative to the largest cost instead, since
+    an error relative to zero would outweigh all other points.
+    """
     largest = max(point.cost for point in points) or 1.0
     return [1.0 / (point.cost or largest) ** 2 for point in points]
 
 
-def _sum(weights: Sequence[float], values: Sequence[float]) -> float:
+def _weighted_sum(weights: Sequence[float], values: Sequence[float]) -> float:
     return sum(weight * value for weight, value in zip(weights, values, strict=True))
 
 
-def _only_base(points: Sequence[Point]) -> tuple[float, float]:
+def _fit_base_only(points: Sequence[Point]) -> tuple[float, float]:
+    """The coefficients (base, factor) of a constant cost; the factor is zero."""
     weights = _weights(points)
-    return _sum(weights, [point.cost for point in points]) / sum(weights), 0.0
+    return _weighted_sum(weights, [point.cost for point in points]) / sum(weights), 0.0
 
 
-def _only_factor(form: Form, points: Sequence[Point]) -> tuple[float, float]:
+def _fit_factor_only(form: GrowthForm, points: Sequence[Point]) -> tuple[float, float]:
+    """The coefficients (base, factor) of a cost proportional to the growth term; the base is zero."""
     weights = _weights(points)
-    grown = [growth(form, point.size) for point in points]
-    products = _sum(weights, [one * point.cost for one, point in zip(grown, points, strict=True)])
-    return 0.0, products / _sum(weights, [one**2 for one in grown])
+    terms = [growth_term(form, point.size) for point in points]
+    products = _weighted_sum(weights, [term * point.cost for term, point in zip(terms, points, strict=True)])
+    return 0.0, products / _weighted_sum(weights, [term**2 for term in terms])
 
 
-def _both(form: Form, points: Sequence[Point]) -> list[tuple[float, float]]:
-    """Weighted least squares of a line; empty if all sizes are the same."""
+def _fit_base_and_factor(form: GrowthForm, points: Sequence[Point]) -> list[tuple[float, float]]:
+    """The coefficients (base, factor) of a line over the growth term, by weighted least squares. Empty if all growth
+    terms are equal."""
     weights = _weights(points)
-    grown = [growth(form, point.size) for point in points]
-    middle_growth = _sum(weights, grown) / sum(weights)
-    middle_cost = _sum(weights, [point.cost for point in points]) / sum(weights)
-    spread = _sum(weights, [(one - middle_growth) ** 2 for one in grown])
-    if spread == 0.0:
+    terms = [growth_term(form, point.size) for point in points]
+    mean_term = _weighted_sum(weights, terms) / sum(weights)
+    mean_cost = _weighted_sum(weights, [point.cost for point in points]) / sum(weights)
+    variance = _weighted_sum(weights, [(term - mean_term) ** 2 for term in terms])
+    if variance == 0.0:
         return []
-    shared = [
-        (one - middle_growth) * (point.cost - middle_cost) for one, point in zip(grown, points, strict=True)
+    products = [
+        (term - mean_term) * (point.cost - mean_cost) for term, point in zip(terms, points, strict=True)
     ]
-    factor = _sum(weights, shared) / spread
-    return [(middle_cost - factor * middle_growth, factor)]
+    factor = _weighted_sum(weights, products) / variance
+    return [(mean_cost - factor * mean_term, factor)]
 
 
-def _residual(form: Form, base: float, factor: float, points: Sequence[Point]) -> float:
-    errors = [(base + factor * growth(form, point.size) - point.cost) ** 2 for point in points]
-    return math.sqrt(_sum(_weights(points), errors) / len(errors))
+def _residual(form: GrowthForm, base: float, factor: float, points: Sequence[Point]) -> float:
+    """The root mean square of the relative errors."""
+    squared_errors = [(base + factor * growth_term(form, point.size) - point.cost) ** 2 for point in points]
+    return math.sqrt(_weighted_sum(_weights(points), squared_errors) / len(squared_errors))
