--- a/banklift/rig/hollow_messages.py
+++ b/banklift/rig/hollow_messages.py
@@ -1,7 +1,8 @@
-"""What a process of hollow members is told and what it tells: typed structs as JSON, one to a line.
+"""The messages between a process of hollow members and its driver: typed structs as JSON, one to a line.
 
-The driver (hollow_fleet.py) writes a `Spec` into a file and commands on the process's standard input; reports come on
-its standard output. Points in time are CLOCK_MONOTONIC, the same for all processes of one machine.
+The driver (hollow_fleet.py) writes a `Spec` into a file and sends commands on the process's standard input; the process
+(hollow.py) sends its reports on its standard output. Points in time are seconds of CLOCK_MONOTONIC, which all processes
+of one machine share. The class name of a command or report is its tag on the wire.
 """
 
 from __future__ import annotations
@@ -20,45 +21,46 @@
 
 
 class Spec(msgspec.Struct, frozen=True):
-    """One process. `names`: its members. `choices`: the aggregators that each router leases from, the preferred one
-    first; a router that is not there leases from the voters. `start`: seconds over which its routers start."""
+    """What one process runs, and the settings of its fleet."""
 
     kind: Kind
-    fleet: str
-    names: tuple[str, ...]
+    fleet: str  # name of the fleet
+    names: tuple[str, ...]  # members that the process runs
     voters: dict[str, str]  # addresses by name
-    lease: float
-    drift: float
-    policy: str
-    seed: int
+    lease: float  # seconds that a voter grants
+    drift: float  # fraction by which the rates of two clocks may differ
+    policy: str  # text of the first policy
+    seed: int  # of the process's random numbers
     aggregators: dict[str, str] = {}  # addresses by name
-    choices: dict[str, tuple[str, ...]] = {}
-    sub_lease: float = 0.0
-    folder: str = ""  # of a voter's state
-    start: float = 0.0
+    choices: dict[
+        str, tuple[str, ...]
+    ] = {}  # aggregators by router, the preferred one first; absent: the voters
+    sub_lease: float = 0.0  # seconds that an aggregator grants; 0 without aggregators
+    folder: str = ""  # path of a voter's state; empty for other kinds
+    start: float = 0.0  # seconds over which the start of the members is spread
 
 
 # ---- commands
 
 
 class Command(msgspec.Struct, frozen=True, tag=True):
-    pass
+    """Base of the messages from the driver to a process."""
 
 
 class Report(Command, frozen=True):
-    """Tell the figures up to now; the answer has this number."""
+    """Send the figures up to now, in a `Figures` that repeats this number."""
 
     number: int
 
 
 class Kill(Command, frozen=True):
-    """End these members as a SIGKILL would: their links break, nothing is said."""
+    """End these members as SIGKILL would: their links break, and they give no lease back."""
 
     names: tuple[str, ...]
 
 
 class Leave(Command, frozen=True):
-    """Let these members go as on SIGTERM: they give their leases back."""
+    """Shut these members down as SIGTERM would: they give their leases back first."""
 
     names: tuple[str, ...]
 
@@ -76,44 +78,47 @@
 
 
 class Answer(msgspec.Struct, frozen=True, tag=True):
-    pass
+    """Base of the messages from a process to the driver."""
 
 
 class Ready(Answer, frozen=True):
-    """The process runs and, if others dial it, listens."""
+    """The process runs and, if other processes connect to it, listens."""
 
     pid: int
 
 
 class Serving(Answer, frozen=True):
-    """So many of the process's `live` members serve this epoch; the last of them adopted it at `last`."""
+    """How many members of the process serve an epoch."""
 
     epoch: int
-    serving: int
-    live: int
-    last: float
+    serving: int  # members that serve it
+    live: int  # members that run
+    last: float  # when the last of them adopted it
 
 
 class Figures(Answer, frozen=True):
-    """Since the start of the process. `lapses`: times that a member was without a lease after its first one, when a
-    request would have been refused; `lapsed`: seconds of that, over all members; `longest`: of one lapse."""
+    """Counters of a process since its start, but for `longest` and `lapsed_names`, which begin anew with each report.
 
-    number: int
-    time: float
+    A lapse is a time in which a member has no lease after its first one; a router that served traffic would refuse
+    requests in it.
+    """
+
+    number: int  # of the `Report` command that this answers
+    time: float  # at which the figures were taken
     cpu: float  # processor seconds
     memory: int  # bytes resident now
     memory_empty: int  # bytes resident before the first member started
-    sent: int  # bytes
-    received: int
+    sent: int  # bytes of payload
+    received: int  # bytes of payload
     messages: int  # writes to a link
     lapses: int
-    lapsed: float
-    longest: float
-    lapsed_names: tuple[str, ...]  # some of the members that had one
+    lapsed: float  # seconds of all lapses, summed over all members
+    longest: float  # seconds of the longest lapse
+    lapsed_names: tuple[str, ...]  # some of the members with a lapse
 
 
 class Ousted(Answer, frozen=True):
-    """A member can't be a part of the fleet; it has ended."""
+    """The fleet turned a member away for this reason; the member has ended."""
 
     name: str
     reason: str
