--- a/banklift/rig/capacity_real.py
+++ b/banklift/rig/capacity_real.py
@@ -26,7 +26,7 @@
 from banklift.rig import capacity_plan as plan
 from banklift.rig import site
 from banklift.rig.capacity_results import RealRouter
-from banklift.rig.hollow_fleet import free_ports
+from banklift.rig.hollow_fleet import free_addresses
 
 FLEET, ZONE = "real", "zone"
 VOTERS, AGGREGATORS = 3, 2
@@ -58,9 +58,11 @@
 
     def __init__(self, folder: Path, stand: Stand) -> None:
         self.folder, self.stand = folder, stand
-        ports = free_ports(VOTERS + AGGREGATORS)
-        self.voters = {f"voter{number}": ports[number] for number in range(VOTERS)}
-        self.aggregators = {f"aggregator{number}": ports[VOTERS + number] for number in range(AGGREGATORS)}
+        addresses = free_addresses(VOTERS + AGGREGATORS)
+        self.voters = {f"voter{number}": addresses[number] for number in range(VOTERS)}
+        self.aggregators = {
+            f"aggregator{number}": addresses[VOTERS + number] for number in range(AGGREGATORS)
+        }
         self.processes: dict[str, Process] = {}
 
     def _file(self, name: str) -> Path:
--- a/banklift/rig/capacity_trials.py
+++ b/banklift/rig/capacity_trials.py
@@ -50,14 +50,14 @@
     return {
         kind: _share(fleet, kind, before, after)
         for kind in Kind
-        if any(host.name in after for host in fleet.of(kind))
+        if any(host.name in after for host in fleet.hosts_of(kind))
     }
 
 
 def _share(
     fleet: HollowFleet, kind: Kind, before: Mapping[str, Figures], after: Mapping[str, Figures]
 ) -> Share:
-    hosts = [host for host in fleet.of(kind) if host.name in after]
+    hosts = [host for host in fleet.hosts_of(kind) if host.name in after]
     members = sum(len(host.spec.names) for host in hosts)
     cores, sent, received, messages, memory = [], 0.0, 0.0, 0.0, 0.0
     for host in hosts:
@@ -96,7 +96,7 @@
         if rate:
             await anyio.sleep(max(0.0, begin + number / rate - time.monotonic()))
         done.append(await _change(fleet, victim, random))
-        if done[-1].everywhere == math.inf:
+        if done[-1].everywhere_seconds == math.inf:
             await _recover(fleet)
     spent = time.monotonic() - begin
     after = await fleet.figures()
@@ -104,7 +104,7 @@
     lapsed = sum(
         max(0.0, one.lapsed - (before[name].lapsed if name in before else 0.0)) for name, one in after.items()
     )
-    good = [one for one in done if one.everywhere < math.inf]
+    good = [one for one in done if one.everywhere_seconds < math.inf]
     return Changes(
         shape.routers,
         shape.voters,
@@ -114,8 +114,8 @@
         str(victim),
         rate,
         shape.policy_bytes,
-        tuple(round(one.everywhere, 3) for one in good),
-        tuple(round(one.told, 3) for one in good),
+        tuple(round(one.everywhere_seconds, 3) for one in good),
+        tuple(round(one.confirmed_seconds, 3) for one in good),
         len(done) - len(good),
         spent,
         shares[Kind.ROUTERS],
@@ -171,7 +171,7 @@
     """After a change that did not come into force in time: wait until the fleet serves one policy again."""
     newest = max(epoch for host in fleet.serving_hosts() for epoch in host.serving)
     with anyio.move_on_after(CHANGE_TIME):
-        await fleet.until(lambda: fleet.all_serve(newest), CHANGE_TIME)
+        await fleet.wait_until(lambda: fleet.all_serve(newest), CHANGE_TIME)
         fleet.epoch = newest
 
 
@@ -181,7 +181,7 @@
     lapses, longest, moved = 0, 0.0, 0
     for name in random.sample(list(fleet.aggregators), trials):
         before = await fleet.figures()
-        moved += len(fleet.leasing_from(name))
+        moved += len(fleet.routers_preferring(name))
         await fleet.kill_process(name)
         await anyio.sleep(1.5 * shape.sub_lease)  # by then what it granted has ended
         await fleet.start_process(name)
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -35,7 +35,7 @@
     done = await fleet.change(PATIENCE)
     assert done.result == Result.IN_FORCE
     assert fleet.epoch == before + 1 and fleet.all_serve(fleet.epoch)
-    assert 0 < done.told <= done.everywhere < math.inf
+    assert 0 < done.confirmed_seconds <= done.everywhere_seconds < math.inf
 
 
 def test_a_change_with_routers_that_lease_from_voters(tmp_path: Path) -> None:
