--- a/banklift/rig/capacity_needs.py
+++ b/banklift/rig/capacity_needs.py
@@ -297,7 +297,7 @@
         Need(
             "voter",
             f"written to disk for changes of {LARGE_POLICY / 1024:.0f} KB",
-            _per_second(saves, plan.SAVES_A_CHANGE * plan.CHANGES_A_SECOND),
+            _per_second(saves, plan.SAVES_PER_CHANGE * plan.CHANGES_A_SECOND),
             None,
             Unit.BYTES_A_SECOND,
             How.RECKONED,
@@ -316,7 +316,7 @@
             plan.AGGREGATOR_CORE_SHARE,
             Unit.CORE,
             How.HOLLOW,
-            f"{plan.AGGREGATORS} aggregators, {plan.ROUTERS_AN_AGGREGATOR:.0f} routers each",
+            f"{plan.AGGREGATORS} aggregators, {plan.ROUTERS_PER_AGGREGATOR:.0f} routers each",
         ),
         Need(
             "aggregator",
@@ -359,7 +359,7 @@
                 "change",
                 f"in force everywhere, 99 of 100, with a death in each, {fleet}",
                 percentile(deadly, 0.99) if deadly else None,
-                plan.CHANGE_99,
+                plan.CHANGE_PERCENTILE_99,
                 Unit.SECONDS,
                 How.HOLLOW,
                 limited or "leases of a few seconds",
@@ -417,7 +417,7 @@
         Need(
             "discovery",
             "whole lists to the routers of a zone that comes back",
-            _per_second(whole, plan.ROUTERS / plan.ZONES_IN_ALL),
+            _per_second(whole, plan.ROUTERS / plan.ZONES_IN_ALL_REGIONS),
             None,
             Unit.BYTES,
             How.RECKONED,
@@ -477,8 +477,8 @@
     return [
         Need(
             "data plane",
-            f"{plan.STATEMENTS_A_ROUTER:,.0f} statements a second: processor time",
-            _per_second(statement, plan.STATEMENTS_A_ROUTER),
+            f"{plan.STATEMENTS_PER_ROUTER:,.0f} statements a second: processor time",
+            _per_second(statement, plan.STATEMENTS_PER_ROUTER),
             ONE_CORE,
             Unit.CORE,
             How.RECKONED,
@@ -487,7 +487,7 @@
         Need(
             "data plane",
             "client connections of a router",
-            plan.CLIENTS_A_ROUTER,
+            plan.CLIENTS_PER_ROUTER,
             float(Limits().clients),
             Unit.COUNT,
             How.RECKONED,
--- a/banklift/rig/capacity_page.py
+++ b/banklift/rig/capacity_page.py
@@ -123,9 +123,9 @@
 def planned(results: Results) -> str:
     body = [
         ["routers", f"{plan.ROUTERS:,}", ""],
-        ["databases (members)", f"{plan.DATABASES:,}", ""],
-        ["client connections", f"{plan.CLIENT_CONNECTIONS:,}", f"{plan.CLIENTS_A_ROUTER:,.0f} a router"],
-        ["statements a second", f"{plan.STATEMENTS:,}", f"{plan.STATEMENTS_A_ROUTER:,.0f} a router"],
+        ["databases (members)", f"{plan.MEMBERS:,}", ""],
+        ["client connections", f"{plan.CLIENT_CONNECTIONS:,}", f"{plan.CLIENTS_PER_ROUTER:,.0f} a router"],
+        ["statements a second", f"{plan.STATEMENTS:,}", f"{plan.STATEMENTS_PER_ROUTER:,.0f} a router"],
         ["regions, zones", f"{plan.REGIONS}, {plan.ZONES}", "docs/questions.md"],
         [
             "changes of configuration a day",
@@ -140,7 +140,7 @@
         ],
         [
             "machines that fail, routers restarted, a day",
-            f"{plan.MACHINES_FAILING}, {plan.RESTARTS:,}",
+            f"{plan.MACHINE_FAILURES}, {plan.ROUTER_RESTARTS:,}",
             f"one of both each {plan.DAY / plan.EVENTS_A_DAY:.0f} s",
         ],
         [
@@ -152,7 +152,7 @@
             "machines for control",
             f"{plan.CONTROL_MACHINES}",
             f"{plan.VOTERS} voters, {plan.AGGREGATORS} aggregators, "
-            f"{plan.ROUTERS_AN_AGGREGATOR:.0f} routers an aggregator",
+            f"{plan.ROUTERS_PER_AGGREGATOR:.0f} routers an aggregator",
         ],
         ["connections, every router to every member", f"{plan.MEMBER_CONNECTIONS:,}", ""],
     ]
@@ -358,7 +358,7 @@
     middle = statistics.median(deadly) if deadly else None
     aim("change with a death, median", plan.CHANGE_MEDIAN, middle, Unit.SECONDS, tried)
     late = percentile(deadly, 0.99) if deadly else None
-    aim("change with a death, 99 of 100", plan.CHANGE_99, late, Unit.SECONDS, tried)
+    aim("change with a death, 99 of 100", plan.CHANGE_PERCENTILE_99, late, Unit.SECONDS, tried)
     failed = float(sum(one.failed for one in series)) if series else None
     aim("changes that were not in force in time", 0.0, failed, Unit.COUNT, "all series")
     for death in results.deaths:
@@ -470,19 +470,19 @@
 def day(results: Results) -> str:
     """An ordinary day's failures and restarts, and what each costs."""
     sub_lease = plan.SUB_LEASE
-    late = plan.MACHINES_FAILING * plan.CHANGES_A_SECOND * sub_lease
+    late = plan.MACHINE_FAILURES * plan.CHANGES_A_SECOND * sub_lease
     killed = plan.EVENTS_A_DAY * plan.CHANGES_A_SECOND * sub_lease
     whole = results.slope("members.list.bytes")
     first = results.slope("members.first")
     lists = None if whole is None else whole.value * plan.EVENTS_A_DAY
     body = [
         [
-            f"{plan.MACHINES_FAILING} machines fail",
+            f"{plan.MACHINE_FAILURES} machines fail",
             "changes that begin within a sub-lease of it wait for its end",
             f"{late:.0f} of {plan.CONFIGURATION_CHANGES:,} changes, {_part(late)}",
         ],
         [
-            f"{plan.RESTARTS:,} routers restart by SIGTERM",
+            f"{plan.ROUTER_RESTARTS:,} routers restart by SIGTERM",
             "they give their sub-leases back, and no change waits",
             "0",
         ],
@@ -528,7 +528,10 @@
     """A zone's loss and return, by both readings of the number of zones."""
     whole = results.slope("members.list.bytes")
     body = []
-    for zones, reading in ((plan.ZONES, "8 zones in all"), (plan.ZONES_IN_ALL, "8 zones in each region")):
+    for zones, reading in (
+        (plan.ZONES, "8 zones in all"),
+        (plan.ZONES_IN_ALL_REGIONS, "8 zones in each region"),
+    ):
         routers = plan.ROUTERS / zones
         lists = None if whole is None else whole.value * routers
         body.append(
@@ -584,14 +587,14 @@
 def data_plane(results: Results) -> str:
     statement = results.slope("data.statement")
     cost = None if statement is None else statement.value
-    cores = None if cost is None else cost * plan.STATEMENTS_A_ROUTER
+    cores = None if cost is None else cost * plan.STATEMENTS_PER_ROUTER
     most = None if cost is None else 1.0 / cost
     body = [
         ["one statement, processor time on sockets", shown(cost, Unit.SECONDS), How.REAL],
         ["statements a second that one process takes at the most", shown(most, Unit.COUNT), How.RECKONED],
-        ["statements a second and router, planned", f"{plan.STATEMENTS_A_ROUTER:,.0f}", "plan"],
+        ["statements a second and router, planned", f"{plan.STATEMENTS_PER_ROUTER:,.0f}", "plan"],
         ["cores that a router needs for them", MISSING if cores is None else f"{cores:.2f}", How.RECKONED],
-        ["client connections a router", f"{plan.CLIENTS_A_ROUTER:,.0f}", "plan"],
+        ["client connections a router", f"{plan.CLIENTS_PER_ROUTER:,.0f}", "plan"],
         ["changes to the list a second, at the most", f"{LIST_CHANGES:.2f}", "plan"],
     ]
     return rows(["data plane", "figure", "from"], body)
--- a/banklift/rig/capacity_plan.py
+++ b/banklift/rig/capacity_plan.py
@@ -1,54 +1,72 @@
-"""The size that is planned for, and the budgets of control at that size, as named constants.
+"""The fleet size that capacity is planned for, and the budgets of control at that size.
 
-All figures are those of the plan for two years ahead; none is measured. What follows from them by arithmetic is
-reckoned here too, so that every page and benchmark uses the same values.
+The figures are those of the plan for two years ahead; none is measured. What follows from them by arithmetic is
+computed here as well, so that all pages and benchmarks use the same values. "Control" is all that a fleet does besides
+carrying requests: leases, changes of policy, and the list of members.
 """
 
 from __future__ import annotations
 
 DAY = 86_400.0  # seconds
 
+# ---- the planned fleet
+
 ROUTERS = 6_200
-DATABASES = 8_400  # members that each router stands before
+MEMBERS = 8_400  # databases behind each router
 REGIONS = 3
-ZONES = 8  # read as 8 in each region or 8 in all: docs/questions.md
-ZONES_IN_ALL = REGIONS * ZONES  # by the reading of 8 in each region
-CLIENT_CONNECTIONS = 19_000_000
+ZONES = 8  # docs/questions.md: either 8 in each region or 8 in all regions together
+ZONES_IN_ALL_REGIONS = REGIONS * ZONES  # if there are 8 in each region
+CLIENT_CONNECTIONS = 19_000_000  # to all routers together
 STATEMENTS = 13_000_000  # a second, over all routers
 PRIMARY_CHANGES = 22  # a day
 PRIMARY_CHANGE_TIME = 11.0  # seconds within which each is over
 CONFIGURATION_CHANGES = 30_000  # a day
 CHANGE_TIME = 5.0  # seconds until a change of configuration is in force everywhere
-MACHINES_FAILING = 47  # a day
-RESTARTS = 1_100  # routers restarted or replaced, a day
-ISOLATION = 3_600.0  # seconds that regions may lose each other for
+MACHINE_FAILURES = 47  # a day
+ROUTER_RESTARTS = 1_100  # routers restarted or replaced, a day
+ISOLATION = 3_600.0  # seconds for which regions may lose each other
+
+# ---- budgets
 
-ROUTER_CORE_SHARE = 0.025  # of a core, for control
-ROUTER_MEMORY = 64_000_000  # bytes, for control
-ROUTER_BYTES = 7_000.0  # a second, for control
-CONTROL_MACHINES = 20
+ROUTER_CORE_SHARE = 0.025  # fraction of a core that a router spends on control
+ROUTER_MEMORY = 64_000_000  # bytes of a router for control
+ROUTER_BYTES = 7_000.0  # bytes a second of a router's control traffic
+CONTROL_MACHINES = 20  # for voters and aggregators
+
+# ---- targets of the control processes
 
-# aims of the control processes at that size
 VOTERS = 5
 AGGREGATORS = CONTROL_MACHINES - VOTERS
-VOTER_CORE_SHARE = 0.25
-AGGREGATOR_CORE_SHARE = 0.5
-CHANGE_MEDIAN = 1.0  # seconds
-CHANGE_99 = 5.0  # seconds, in 99 of 100
+VOTER_CORE_SHARE = 0.25  # fraction of a core
+AGGREGATOR_CORE_SHARE = 0.5  # fraction of a core
+CHANGE_MEDIAN = 1.0  # seconds until half of the changes are in force
+CHANGE_PERCENTILE_99 = 5.0  # seconds until 99 of 100 changes are in force
+
+# ---- computed from the above
 
-# reckoned
 CHANGES_A_SECOND = CONFIGURATION_CHANGES / DAY
-EVENTS_A_DAY = MACHINES_FAILING + RESTARTS  # routers that leave and come, a day
-CLIENTS_A_ROUTER = CLIENT_CONNECTIONS / ROUTERS
-STATEMENTS_A_ROUTER = STATEMENTS / ROUTERS
-MEMBER_CONNECTIONS = ROUTERS * DATABASES  # one connection of every router to every member
-ROUTERS_AN_AGGREGATOR = ROUTERS / AGGREGATORS
-
-SIZES = (40, 200, 1_000, 6_200)  # at which costs are measured
-FLEET_SIZES = (200, 1_000, 3_000, 6_200)  # of hollow fleets
-LIST_SIZES = (100, 500, 2_000, 8_400)  # members of a list
-POLICY_SIZES = (4 * 1024, 16 * 1024, 64 * 1024, 256 * 1024 - 512)  # bytes; the last: the most, less its frame
-SAVES_A_CHANGE = 6  # writes to disk by one voter: a promise and an acceptance for each of its three steps
-POLICY_USUAL = 4 * 1024  # bytes of a policy in the fleets that are measured
-
-LEASE, SUB_LEASE = 3.5, 2.3  # seconds, chosen for the planned fleet: docs/CAPACITY.md says why
+EVENTS_A_DAY = MACHINE_FAILURES + ROUTER_RESTARTS  # times that a router goes away and comes back
+CLIENTS_PER_ROUTER = CLIENT_CONNECTIONS / ROUTERS
+STATEMENTS_PER_ROUTER = STATEMENTS / ROUTERS  # a second
+MEMBER_CONNECTIONS = ROUTERS * MEMBERS  # one connection of every router to every member
+ROUTERS_PER_AGGREGATOR = ROUTERS / AGGREGATORS
+
+# ---- what is measured
+
+SIZES = (40, 200, 1_000, 6_200)  # lease holders of one grantor
+FLEET_SIZES = (200, 1_000, 3_000, 6_200)  # routers of a hollow fleet
+LIST_SIZES = (100, 500, 2_000, 8_400)  # members in a list
+POLICY_SIZES = (
+    4 * 1024,
+    16 * 1024,
+    64 * 1024,
+    256 * 1024 - 512,
+)  # bytes; the last: the limit, less a margin for its frame
+SAVES_PER_CHANGE = (
+    6  # a voter's writes to disk: a promise and an acceptance for each of the three steps of a change
+)
+POLICY_USUAL = 4 * 1024  # bytes of a policy in the measured fleets
+
+# ---- settings of the planned fleet
+
+LEASE, SUB_LEASE = 3.5, 2.3  # seconds; docs/CAPACITY.md gives the reasons
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -124,8 +124,8 @@
 def test_the_planned_rates_follow_from_the_planned_counts() -> None:
     assert pytest.approx(0.347, abs=0.001) == plan.CHANGES_A_SECOND
     assert plan.MEMBER_CONNECTIONS == 52_080_000
-    assert pytest.approx(2097, abs=1) == plan.STATEMENTS_A_ROUTER
-    assert pytest.approx(3065, abs=1) == plan.CLIENTS_A_ROUTER
+    assert pytest.approx(2097, abs=1) == plan.STATEMENTS_PER_ROUTER
+    assert pytest.approx(3065, abs=1) == plan.CLIENTS_PER_ROUTER
 
 
 def test_a_percentile_is_one_of_the_times() -> None:
