--- a/banklift/rig/capacity_grantor.py
+++ b/banklift/rig/capacity_grantor.py
@@ -43,9 +43,7 @@
 CHANGE_TIMEOUT = 600.0  # seconds, so long that no change is aborted for its time
 ROUNDS = 5  # of which the least processor time counts
 TIMED_HOLDERS = 300  # holders whose requests are timed in one round, at the most
-MAX_SHORT_LEASE_PART = (
-    0.11  # longest lease that a grantor gives while leases run out, as a fraction of a whole one
-)
+MAX_SHORT_LEASE_PART = 0.11  # fraction of a lease: the longest that is granted while leases run out
 SURVEY_INTERVAL = 0.2  # seconds of virtual time after which the driver surveys again
 MESSAGE_INTERVAL = 0.0001  # seconds of virtual time between two messages
 AGREEMENT_TIME = 0.3  # seconds of virtual time in which a change that all holders accept is agreed
--- a/banklift/rig/capacity_plan.py
+++ b/banklift/rig/capacity_plan.py
@@ -62,9 +62,7 @@
     64 * 1024,
     256 * 1024 - 512,
 )  # bytes; the last: the limit, less a margin for its frame
-SAVES_PER_CHANGE = (
-    6  # a voter's writes to disk: a promise and an acceptance for each of the three steps of a change
-)
+SAVES_PER_CHANGE = 6  # writes to disk by a voter: a promise and an acceptance for each of its three steps
 POLICY_USUAL = 4 * 1024  # bytes of a policy in the measured fleets
 
 # ---- settings of the planned fleet
--- a/banklift/rig/capacity_real.py
+++ b/banklift/rig/capacity_real.py
@@ -1,7 +1,7 @@
-"""Real `banklift router` processes at rest, as many as the machine takes: processor time and memory of one.
+"""Measures processor time and memory of real `banklift router` processes that get no requests.
 
-Three of them are voters, two aggregators run beside them, and three stand-ins are the members. Nothing is asked of
-them, so what they use is control and the links to members that an idle router keeps.
+Three routers are voters, and two `banklift aggregator` processes run beside them. The three members are emulated in the
+process of the benchmark. What a router uses is thus its control and the links to members that it keeps while idle.
 """
 
 from __future__ import annotations
@@ -28,36 +28,45 @@
 from banklift.rig.capacity_results import RealRouter
 from banklift.rig.hollow_fleet import free_addresses
 
-FLEET, ZONE = "real", "zone"
-VOTERS, AGGREGATORS = 3, 2
-UP_TIME = 90.0  # seconds in which the processes listen
-AT_ONCE = 16  # processes that start side by side
-SETTLE = 1.5 * plan.LEASE  # seconds until leases are held and renewals spread
-TICKS = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
+FLEET_NAME, ZONE = "real", "zone"
+VOTERS, AGGREGATORS = 3, 2  # processes
+START_TIMEOUT = 90.0  # seconds until all processes listen
+PARALLEL_STARTS = 16  # processes that start at the same time, at the most
+SETTLE_TIME = 1.5 * plan.LEASE  # seconds until every router holds a lease and renewals are spread out
+TICKS_A_SECOND = os.sysconf("SC_CLK_TCK")  # unit of processor time in /proc
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")  # unit of memory in /proc
 
 
 @dataclass(frozen=True, slots=True)
-class Used:
-    """By one process up to now: processor seconds; bytes resident, and of these not shared with files."""
+class ProcessUsage:
+    """What one process has used since its start."""
 
-    cpu: float
-    resident: int
-    own: int
+    cpu: float  # processor seconds
+    resident: int  # bytes in memory now
+    own: int  # bytes of these that are not shared with files
 
 
-def used(pid: int) -> Used:
-    """Errors: `OSError` if there is no such process."""
+def process_usage(pid: int) -> ProcessUsage:
+    """What the process has used, from /proc. Errors: `OSError` if there is no such process."""
+    # fields after the command's name in parentheses: 11 and 12 are the ticks in user and in kernel mode
     stat = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     resident, shared = (int(field) for field in Path(f"/proc/{pid}/statm").read_text().split()[1:3])
-    return Used((int(stat[11]) + int(stat[12])) / TICKS, resident * PAGE, (resident - shared) * PAGE)
+    return ProcessUsage(
+        (int(stat[11]) + int(stat[12])) / TICKS_A_SECOND,
+        resident * PAGE_BYTES,
+        (resident - shared) * PAGE_BYTES,
+    )
 
 
 class RealFleet:
-    """Made by `real_fleet`."""
+    """The processes of voters, aggregators and routers. Made by `real_fleet`.
+
+    Their configurations, logs and state are files in `folder`; `stand` emulates the members.
+    """
 
     def __init__(self, folder: Path, stand: Stand) -> None:
-        self.folder, self.stand = folder, stand
+        self.folder = folder
+        self.stand = stand
         addresses = free_addresses(VOTERS + AGGREGATORS)
         self.voters = {f"voter{number}": addresses[number] for number in range(VOTERS)}
         self.aggregators = {
@@ -65,16 +74,18 @@
         }
         self.processes: dict[str, Process] = {}
 
-    def _file(self, name: str) -> Path:
+    def _write_config(self, name: str) -> Path:
+        """Write the configuration file of one process and return its path."""
         table: dict[str, Any] = {
-            "name": FLEET,
+            "name": FLEET_NAME,
             "voters": self.voters,
             "lease": plan.LEASE,
             "sub_lease": plan.SUB_LEASE,
             "folder": f"{name}.state",
             "zone": ZONE,
             "aggregators": {
-                one: {"address": address, "zone": ZONE} for one, address in self.aggregators.items()
+                aggregator: {"address": address, "zone": ZONE}
+                for aggregator, address in self.aggregators.items()
             },
         }
         content: dict[str, Any] = {"name": name, "fleet": table}
@@ -90,37 +101,43 @@
         return path
 
     async def start(self, names: Sequence[str]) -> None:
-        """Start these, some at a time, and wait until each listens. Errors: `TimeoutError`, `anyio.EndOfStream`."""
-        limit = anyio.Semaphore(AT_ONCE)
+        """Start the processes of these names, `PARALLEL_STARTS` at a time, and wait until each listens.
 
-        async def one(name: str) -> None:
+        Errors: `TimeoutError`; `anyio.EndOfStream`, in a group, if a process ends by itself.
+        """
+        limit = anyio.Semaphore(PARALLEL_STARTS)
+
+        async def start_limited(name: str) -> None:
             async with limit:
-                await self._start(name)
+                await self._start_process(name)
 
-        with anyio.fail_after(UP_TIME):
+        with anyio.fail_after(START_TIMEOUT):
             async with anyio.create_task_group() as tasks:
                 for name in names:
-                    tasks.start_soon(one, name)
+                    tasks.start_soon(start_limited, name)
 
-    async def _start(self, name: str) -> None:
+    async def _start_process(self, name: str) -> None:
         command = "aggregator" if name in self.aggregators else "router"
         with (self.folder / f"{name}.log").open("ab") as errors:
             process = await anyio.open_process(
-                [sys.executable, "-m", "banklift", command, "--config", str(self._file(name))],
+                [sys.executable, "-m", "banklift", command, "--config", str(self._write_config(name))],
                 stdout=subprocess.PIPE,
                 stderr=errors,
             )
         self.processes[name] = process
         assert process.stdout is not None
-        await process.stdout.receive()  # its one line: it listens
+        await process.stdout.receive()  # its only line, which it writes once it listens
 
     def routers(self) -> list[str]:
+        """Names of the routers that were started, without the voters."""
         return [name for name in self.processes if name not in self.aggregators and name not in self.voters]
 
-    def used(self) -> dict[str, Used]:
-        return {name: used(process.pid) for name, process in self.processes.items()}
+    def usage(self) -> dict[str, ProcessUsage]:
+        """What each process has used, by name. Errors: `OSError` if one has ended."""
+        return {name: process_usage(process.pid) for name, process in self.processes.items()}
 
     async def close(self) -> None:
+        """Kill all processes and wait for their end."""
         for process in self.processes.values():
             if process.returncode is None:
                 process.kill()
@@ -131,7 +148,7 @@
 
 @asynccontextmanager
 async def real_fleet(folder: Path) -> AsyncIterator[RealFleet]:
-    """Voters and aggregators that are up; all processes end with the block."""
+    """A fleet whose voters and aggregators listen. All processes end with the block. Errors: as `RealFleet.start`."""
     async with anyio.create_task_group() as tasks:
         stand = Stand(site.site(), SocketEnv(tasks))
         fleet = RealFleet(folder, stand)
@@ -145,19 +162,22 @@
 
 
 async def real_rest(fleet: RealFleet, routers: int, seconds: float) -> RealRouter:
-    """Let the fleet grow to so many routers, then watch it at rest."""
-    before = len(fleet.routers())
-    await fleet.start([f"router{number}" for number in range(before, routers)])
-    await anyio.sleep(SETTLE)
+    """Start routers until there are so many, then measure them for so many seconds without requests.
+
+    Errors: as `RealFleet.start` and `RealFleet.usage`.
+    """
+    running = len(fleet.routers())
+    await fleet.start([f"router{number}" for number in range(running, routers)])
+    await anyio.sleep(SETTLE_TIME)
     names = fleet.routers()
-    first, begin = fleet.used(), time.monotonic()
+    first, begin = fleet.usage(), time.monotonic()
     await anyio.sleep(seconds)
-    last, spent = fleet.used(), time.monotonic() - begin
+    last, elapsed = fleet.usage(), time.monotonic() - begin
     return RealRouter(
         len(names),
         VOTERS,
-        spent,
-        sum(last[name].cpu - first[name].cpu for name in names) / spent / len(names),
+        elapsed,
+        sum(last[name].cpu - first[name].cpu for name in names) / elapsed / len(names),
         sum(last[name].resident for name in names) / len(names),
         sum(last[name].own for name in names) / len(names),
     )
--- a/banklift/rig/capacity_trials.py
+++ b/banklift/rig/capacity_trials.py
@@ -1,4 +1,9 @@
-"""What is tried on a hollow fleet that is up: rest, changes with and without deaths, the death of an aggregator."""
+"""Trials on a hollow fleet that runs: the fleet without changes, changes with and without faults, and the failure of
+aggregators.
+
+Each trial returns a struct of capacity_results.py. Errors of all trials: `TimeoutError` and `Broken` of the fleet, and
+`Unreachable` if no voter answers an operator.
+"""
 
 from __future__ import annotations
 
@@ -13,14 +18,16 @@
 from banklift.rig.hollow_fleet import ChangeTimes, HollowFleet
 from banklift.rig.hollow_messages import Figures, Kind
 
-SETTLE_LEASES = 1.3  # leases after the start in which voters learn of all that are out, and renewals spread
-CHANGE_TIME = 25.0  # seconds after which a change counts as failed
-EARLY, LATE = 1.0, 1.5  # seconds before and after the operator's word in which something is killed
-SEVERAL = 5  # routers
+SETTLE_LEASES = 1.3  # leases until voters know all that are outstanding and renewals are spread out
+CHANGE_TIMEOUT = 25.0  # seconds after which a change counts as failed
+MAX_FAULT_LEAD, MAX_FAULT_DELAY = 1.0, 1.5  # seconds by which a fault may precede or follow a proposal
+ROUTERS_KILLED = 5  # at once, by a fault of several routers
+AGGREGATOR_DOWN_SUB_LEASES = 1.5  # sub-leases after which a killed aggregator starts; all of its have ended
+AGGREGATOR_BACK_LEASES = 0.5  # leases from its start to the report
 
 
 async def rest(fleet: HollowFleet, seconds: float, start: float) -> Rest:
-    """Watch a fleet in which nothing happens. `start`: seconds that its start took."""
+    """Measure a fleet for so many seconds without changes or faults. `start`: seconds that its start took."""
     shape = fleet.shape
     await anyio.sleep(SETTLE_LEASES * shape.lease)
     before = await fleet.figures()
@@ -46,7 +53,8 @@
 def shares_of(
     fleet: HollowFleet, before: Mapping[str, Figures], after: Mapping[str, Figures]
 ) -> dict[Kind, Share]:
-    """What the processes of each kind used between two reports; those started in between count from their start."""
+    """What the processes of each kind used between two reports, by the name of the process. A process that another one
+    replaced in between is left out, and so is one that is only in the second report."""
     return {
         kind: _share(fleet, kind, before, after)
         for kind in Kind
@@ -62,7 +70,7 @@
     cores, sent, received, messages, memory = [], 0.0, 0.0, 0.0, 0.0
     for host in hosts:
         new, old = after[host.name], before.get(host.name)
-        if old is None or new.cpu < old.cpu:  # another process than the one that reported before
+        if old is None or new.cpu < old.cpu:  # the process was started between the two reports
             continue
         seconds = new.time - old.time
         cores.append((new.cpu - old.cpu) / seconds)
@@ -70,41 +78,47 @@
         received += (new.received - old.received) / seconds
         messages += (new.messages - old.messages) / seconds
         memory += new.memory - (new.memory_empty if kind is Kind.ROUTERS else 0)
-    part = members * len(cores) / len(hosts) if cores else math.inf
+    counted_members = members * len(cores) / len(hosts) if cores else math.inf
     return Share(
         len(hosts),
         members,
-        sum(cores) / part,
+        sum(cores) / counted_members,
         max(cores, default=0.0),
-        memory / part,
-        sent / part,
-        received / part,
-        messages / part,
+        memory / counted_members,
+        sent / counted_members,
+        received / counted_members,
+        messages / counted_members,
     )
 
 
 async def changes(
     fleet: HollowFleet, victim: Victim, count: int, rate: float, seed: int, seconds: float = math.inf
 ) -> Changes:
-    """Changes one after the other, or at `rate` a second; up to `count` of them, begun within `seconds`."""
+    """Change the policy up to `count` times, each with the fault that `victim` names.
+
+    `rate`: changes that begin a second, at the most; 0: each begins as soon as the one before has ended. None begins
+    later than `seconds` after the first. `seed` is of the faults' times and victims. After a change that is not in
+    force everywhere in time, the next one waits until the fleet serves one policy again.
+    """
     random, shape = Random(seed), fleet.shape
     before, begin = await fleet.figures(), time.monotonic()
-    done: list[ChangeTimes] = []
+    finished: list[ChangeTimes] = []
     for number in range(count):
         if time.monotonic() - begin >= seconds:
             break
         if rate:
             await anyio.sleep(max(0.0, begin + number / rate - time.monotonic()))
-        done.append(await _change(fleet, victim, random))
-        if done[-1].everywhere_seconds == math.inf:
+        finished.append(await _change_with_fault(fleet, victim, random))
+        if finished[-1].everywhere_seconds == math.inf:
             await _recover(fleet)
-    spent = time.monotonic() - begin
+    elapsed = time.monotonic() - begin
     after = await fleet.figures()
     shares = shares_of(fleet, before, after)
     lapsed = sum(
-        max(0.0, one.lapsed - (before[name].lapsed if name in before else 0.0)) for name, one in after.items()
+        max(0.0, figures.lapsed - (before[name].lapsed if name in before else 0.0))
+        for name, figures in after.items()
     )
-    good = [one for one in done if one.everywhere_seconds < math.inf]
+    in_force = [times for times in finished if times.everywhere_seconds < math.inf]
     return Changes(
         shape.routers,
         shape.voters,
@@ -114,79 +128,84 @@
         str(victim),
         rate,
         shape.policy_bytes,
-        tuple(round(one.everywhere_seconds, 3) for one in good),
-        tuple(round(one.confirmed_seconds, 3) for one in good),
-        len(done) - len(good),
-        spent,
+        tuple(round(times.everywhere_seconds, 3) for times in in_force),
+        tuple(round(times.confirmed_seconds, 3) for times in in_force),
+        len(finished) - len(in_force),
+        elapsed,
         shares[Kind.ROUTERS],
         shares[Kind.VOTER],
         shares.get(Kind.AGGREGATOR),
-        sum(_cpu(name, before, after) for name in after) / spent,
-        max(one.longest for one in after.values()),
-        lapsed / max(1, len(done)) / (shape.routers + shape.voters),
+        sum(_cpu(name, before, after) for name in after) / elapsed,
+        max(figures.longest for figures in after.values()),
+        lapsed / max(1, len(finished)) / (shape.routers + shape.voters),
     )
 
 
 def _cpu(name: str, before: Mapping[str, Figures], after: Mapping[str, Figures]) -> float:
-    """Processor seconds between two reports; of a process that was started again, those since its start."""
+    """Processor seconds of a process between two reports; since its start if it was started in between."""
     used = after[name].cpu
     earlier = before[name].cpu if name in before else 0.0
     return used - earlier if used >= earlier else used
 
 
-async def _change(fleet: HollowFleet, victim: Victim, random: Random) -> ChangeTimes:
-    """One change with one death at a drawn moment around it; what died is up again afterwards."""
+async def _change_with_fault(fleet: HollowFleet, victim: Victim, random: Random) -> ChangeTimes:
+    """One change with one fault at a random time around its proposal; the victim runs again afterwards."""
     if victim is Victim.NOBODY:
-        return await fleet.change(CHANGE_TIME)
+        return await fleet.change(CHANGE_TIMEOUT)
     kill, restore = _fault(fleet, victim, random)
-    moment = random.uniform(-EARLY, LATE)
-    found: list[ChangeTimes] = []
+    # seconds after the proposal; negative: before it
+    fault_time = random.uniform(-MAX_FAULT_LEAD, MAX_FAULT_DELAY)
+    results: list[ChangeTimes] = []
 
     async def change() -> None:
-        await anyio.sleep(max(0.0, -moment))
-        found.append(await fleet.change(CHANGE_TIME))
+        await anyio.sleep(max(0.0, -fault_time))
+        results.append(await fleet.change(CHANGE_TIMEOUT))
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(change)
-        await anyio.sleep(max(0.0, moment))
+        await anyio.sleep(max(0.0, fault_time))
         await kill()
     await restore()
-    return found[0]
+    return results[0]
 
 
 def _fault(
     fleet: HollowFleet, victim: Victim, random: Random
 ) -> tuple[Callable[[], Awaitable[None]], Callable[[], Awaitable[None]]]:
-    """How it is killed, and started again."""
+    """The calls that end a random victim of this kind and start it again."""
     if victim is Victim.AGGREGATOR:
         name = random.choice(list(fleet.aggregators))
         return lambda: fleet.kill_process(name), lambda: fleet.start_process(name)
-    names = random.sample(fleet.routers, 1 if victim is Victim.ROUTER else SEVERAL)
+    names = random.sample(fleet.routers, 1 if victim is Victim.ROUTER else ROUTERS_KILLED)
     if victim is Victim.LEAVING:
         return lambda: fleet.leave_routers(names), lambda: fleet.start_routers(names)
     return lambda: fleet.kill_routers(names), lambda: fleet.start_routers(names)
 
 
 async def _recover(fleet: HollowFleet) -> None:
-    """After a change that did not come into force in time: wait until the fleet serves one policy again."""
+    """Wait until the fleet serves one policy again after a change that was not in force everywhere in time. Gives
+    up after `CHANGE_TIMEOUT`."""
     newest = max(epoch for host in fleet.serving_hosts() for epoch in host.serving)
-    with anyio.move_on_after(CHANGE_TIME):
-        await fleet.wait_until(lambda: fleet.all_serve(newest), CHANGE_TIME)
+    with anyio.move_on_after(CHANGE_TIMEOUT):
+        await fleet.wait_until(lambda: fleet.all_serve(newest), CHANGE_TIMEOUT)
         fleet.epoch = newest
 
 
 async def death(fleet: HollowFleet, trials: int, seed: int) -> Death:
-    """Kill aggregators of a fleet at rest, one after the other, and count routers that were without a lease."""
+    """Kill so many aggregators, one after the other, while no change is under way, and count lapses of routers' leases.
+
+    Each one starts again before the next is killed. `seed` is of their choice.
+    """
     random, shape = Random(seed), fleet.shape
     lapses, longest, moved = 0, 0.0, 0
     for name in random.sample(list(fleet.aggregators), trials):
         before = await fleet.figures()
         moved += len(fleet.routers_preferring(name))
         await fleet.kill_process(name)
-        await anyio.sleep(1.5 * shape.sub_lease)  # by then what it granted has ended
+        await anyio.sleep(AGGREGATOR_DOWN_SUB_LEASES * shape.sub_lease)
         await fleet.start_process(name)
-        await anyio.sleep(0.5 * shape.lease)
+        await anyio.sleep(AGGREGATOR_BACK_LEASES * shape.lease)
         after = await fleet.figures()
-        lapses += sum(after[one].lapses - before[one].lapses for one in after if one != name)
-        longest = max(longest, max(one.longest for one in after.values()))
+        lapses += sum(after[other].lapses - before[other].lapses for other in after if other != name)
+        longest = max(longest, max(figures.longest for figures in after.values()))
     return Death(shape.routers, shape.aggregators, trials, moved, lapses, longest)
--- a/banklift/rig/hollow.py
+++ b/banklift/rig/hollow.py
@@ -54,9 +54,7 @@
     Start,
 )
 
-FLUSH_DELAY_SECONDS = (
-    0.02  # in which adoptions are gathered into one report, and a leaving member's messages go out
-)
+FLUSH_DELAY_SECONDS = 0.02  # for adoptions to share one report, and for a leaving member's messages to go out
 MAX_READ_BYTES = 256 * 1024  # of commands, in one read
 MAX_LAPSED_NAMES = 8  # members with a lapse that a report names
 STDIN_FD = 0
--- a/banklift/rig/hollow_fleet.py
+++ b/banklift/rig/hollow_fleet.py
@@ -86,9 +86,7 @@
     spec_path: Path
     process: Process | None = None  # None before its start and after its end
     ready: bool = False  # it has reported that it runs
-    expected_live: int = (
-        0  # members that run by the commands sent; 0 for an aggregator, which serves no epoch
-    )
+    expected_live: int = 0  # members that run, by the commands sent; 0 for an aggregator: it serves no epoch
     serving: dict[int, Serving] = field(default_factory=dict)  # the last report by epoch
     figures: Figures | None = None  # the last report
 
--- a/banklift/rig/slopes.py
+++ b/banklift/rig/slopes.py
@@ -17,9 +17,7 @@
 from enum import StrEnum
 
 NOISE_RESIDUAL = 0.15  # relative error by which repeated measurements of one size differ on a busy machine
-MAX_RESIDUAL_RATIO = (
-    1.5  # a simpler form is preferred while its residual over the smallest one is at most this
-)
+MAX_RESIDUAL_RATIO = 1.5  # residual of a simpler form over the smallest one, up to which it is preferred
 MIN_POINTS = 2  # measurements that a fit needs
 
 
