--- a/banklift/rig/capacity_needs.py
+++ b/banklift/rig/capacity_needs.py
@@ -1,7 +1,6 @@
-"""Each role's needs at the planned size beside its budgets, reckoned from measured figures. Pure.
+"""What each role of the planned fleet needs beside its budget, calculated from measured figures. Pure.
 
-A need is `None` where the figure it rests on was not measured; the page says so. `ratio` is need over budget: above one
-the budget is exceeded.
+A need is None where a figure that it is calculated from was not measured; the page says so.
 """
 
 from __future__ import annotations
@@ -15,22 +14,21 @@
 from banklift.fleet.holder_table import MAX_HOLDERS
 from banklift.proxy.plan import Limits
 from banklift.rig import capacity_plan as plan
-from banklift.rig.capacity_results import Changes, How, Rest, Results, Share, Victim
+from banklift.rig.capacity_results import Changes, How, ResourceUsage, Rest, Results, Victim
 
-HEADERS = 66.0  # bytes of Ethernet, IP and TCP with timestamps around each segment
-SEGMENTS_A_MESSAGE = 2.0  # the message's, and an acknowledgement
-BUSY_PART = 0.5  # of a machine's cores at rest, from which a change waits for a core
-ONE_CORE = 1.0  # a router is one process on one core
-LIST_CHANGES = (
-    plan.CONFIGURATION_CHANGES + plan.EVENTS_A_DAY
-) / plan.DAY  # a second, as if all were in the list
-LARGE_POLICY = plan.POLICY_SIZES[-1]
+HEADER_BYTES = 66.0  # of Ethernet, IP, and TCP with timestamps, around each segment
+SEGMENTS_PER_MESSAGE = 2.0  # the message itself and its acknowledgement
+BUSY_CORES_PART = 0.5  # fraction of the cores used at rest, from which a change has to wait for a core
+ROUTER_CORES = 1.0  # a router is one process on one core
+# an upper bound, as if every change of configuration and every event changed the list
+LIST_CHANGES_A_SECOND = (plan.CONFIGURATION_CHANGES + plan.EVENTS_A_DAY) / plan.DAY
+LARGE_POLICY_BYTES = plan.POLICY_SIZES[-1]
 
 
 class Unit(StrEnum):
-    """How a need is shown."""
+    """The unit of a need, by which the page formats it."""
 
-    CORE = "core"
+    CORE = "core"  # fraction of a core
     BYTES = "bytes"
     BYTES_A_SECOND = "bytes/s"
     SECONDS = "s"
@@ -40,24 +38,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Need:
-    """`budget`: None where none was stated. `mechanism`: what carries it, or what is missing."""
+    """One need of a role at the planned size: one row of the page's table of budgets."""
 
     role: str
-    what: str
-    need: float | None
-    budget: float | None
-    unit: Unit
+    what: str  # which need it is, in words
+    need: float | None  # None if it was not measured
+    budget: float | None  # None if the plan states none
+    unit: Unit  # of the need and of the budget
     how: How
-    mechanism: str
+    mechanism: str  # by what the fleet keeps the budget, or what it lacks to keep it
 
     @property
     def ratio(self) -> float | None:
+        """Need over budget, above 1 if the budget is exceeded; None if either is unknown."""
         return None if self.need is None or self.budget is None else self.need / self.budget
 
 
 def needs(results: Results) -> list[Need]:
-    """All of them, the worst ratio first; those without a budget, and those that were not measured, last."""
-    found = [
+    """All needs, the largest ratio first; those without a budget and those that were not measured come last."""
+    all_needs = [
         *_router(results),
         *_voter(results),
         *_aggregator(results),
@@ -67,95 +66,111 @@
         *_operator(results),
         *_data_plane(results),
     ]
-    return sorted(found, key=lambda one: -1.0 if one.ratio is None else one.ratio, reverse=True)
+    return sorted(all_needs, key=lambda need: -1.0 if need.ratio is None else need.ratio, reverse=True)
 
 
 # ---- what was measured
 
 
 def rest_at(results: Results, tiered: bool) -> Rest | None:
-    """The largest fleet at rest."""
-    rests = [one for one in results.rests if (one.aggregators > 0) is tiered]
-    return max(rests, key=lambda one: one.routers, default=None)
+    """The largest fleet that was measured at rest. `tiered`: with aggregators."""
+    rests = [rest for rest in results.rests if (rest.aggregators > 0) is tiered]
+    return max(rests, key=lambda rest: rest.routers, default=None)
 
 
 def rate_run(results: Results) -> Changes | None:
-    """The largest fleet with changes at the planned rate."""
-    runs = [one for one in results.changes if one.rate and one.rate <= 2 * plan.CHANGES_A_SECOND]
-    return max(runs, key=lambda one: one.routers, default=None)
+    """The series of changes at about the planned rate, in the largest fleet. Above twice the planned rate, a series is
+    one of changes as fast as the fleet takes them (`fastest_run`)."""
+    runs = [series for series in results.changes if series.rate and series.rate <= 2 * plan.CHANGES_A_SECOND]
+    return max(runs, key=lambda series: series.routers, default=None)
 
 
 def fastest_run(results: Results) -> Changes | None:
-    """The largest fleet with one change after the other."""
-    runs = [one for one in results.changes if one.rate > 2 * plan.CHANGES_A_SECOND]
-    return max(runs, key=lambda one: one.routers, default=None)
+    """The series of changes as fast as the fleet takes them, in the largest fleet."""
+    runs = [series for series in results.changes if series.rate > 2 * plan.CHANGES_A_SECOND]
+    return max(runs, key=lambda series: series.routers, default=None)
 
 
-def percentile(times: Sequence[float], part: float) -> float:
-    """The time within which that part of them is, of those that were measured."""
+def percentile(times: Sequence[float], fraction: float) -> float:
+    """The measured time that this fraction of the times does not exceed. `times` must not be empty."""
     ordered = sorted(times)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 def tiered_fleets(results: Results) -> list[tuple[Changes, ...]]:
-    """Series of changes in fleets with aggregators, by fleet, the largest first."""
+    """The series of changes of each fleet with aggregators, the largest fleet first."""
     fleets: dict[tuple[int, int], list[Changes]] = {}
-    for one in results.changes:
-        if one.aggregators:
-            fleets.setdefault((one.routers, one.aggregators), []).append(one)
+    for changes in results.changes:
+        if changes.aggregators:
+            fleets.setdefault((changes.routers, changes.aggregators), []).append(changes)
     return [tuple(fleets[key]) for key in sorted(fleets, reverse=True)]
 
 
-def undisturbed(series: Sequence[Changes]) -> list[float]:
-    """Times of changes one after the other, with nothing killed."""
-    return [time for one in series if not one.kill and not one.rate for time in one.times]
+def undisturbed_times(series: Sequence[Changes]) -> list[float]:
+    """Seconds of the changes that followed one after the other without faults."""
+    return [time for changes in series if not changes.kill and not changes.rate for time in changes.times]
 
 
-def with_deaths(series: Sequence[Changes]) -> list[float]:
-    """Times of changes with something killed at a drawn moment."""
-    return [time for one in series if one.kill and one.kill != Victim.LEAVING for time in one.times]
+def times_with_kills(series: Sequence[Changes]) -> list[float]:
+    """Seconds of the changes around which something was ended by SIGKILL."""
+    return [
+        time
+        for changes in series
+        if changes.kill and changes.kill != Victim.LEAVING
+        for time in changes.times
+    ]
 
 
 def limited_by_machine(results: Results, routers: int, aggregators: int) -> str:
-    """Why the times of this fleet hold the wait for a core, in words; empty if most cores are free at rest."""
+    """Says that changes of this fleet had to wait for a core, so that their times say little; empty if they had not.
+
+    The fleet counts as limited by the machine if its processes use at least `BUSY_CORES_PART` of the cores at rest.
+    """
     machine = results.machines.get("aims")
     rest = next(
-        (one for one in results.rests if (one.routers, one.aggregators) == (routers, aggregators)), None
+        (
+            candidate
+            for candidate in results.rests
+            if (candidate.routers, candidate.aggregators) == (routers, aggregators)
+        ),
+        None,
     )
-    if machine is None or rest is None or rest.machine_core < BUSY_PART * machine.cores:
+    if machine is None or rest is None or rest.machine_core < BUSY_CORES_PART * machine.cores:
         return ""
     return f"limited by the one machine: at rest its processes use {rest.machine_core:.1f} of {machine.cores} cores"
 
 
-def _value(results: Results, key: str) -> float | None:
+def _planned_cost(results: Results, key: str) -> float | None:
+    """The cost at the planned size of the slope with this key."""
     slope = results.slope(key)
     return None if slope is None else slope.value
 
 
-def _per_second(cost: float | None, rate: float) -> float | None:
-    return None if cost is None else cost * rate
+def _cost_times(cost: float | None, factor: float) -> float | None:
+    """The product, or None if the cost was not measured."""
+    return None if cost is None else cost * factor
 
 
-def _busiest(results: Results, role: str) -> Share | None:
-    """Of the run at the planned rate, or at rest if there was none."""
+def _usage(results: Results, role: str) -> ResourceUsage | None:
+    """What a role used in the series at the planned rate, or at rest if there was none. `role`: a field of both."""
     run = rate_run(results) or rest_at(results, True)
     return getattr(run, role) if run is not None else None
 
 
-# ---- roles
+# ---- needs by role
 
 
 def _router(results: Results) -> list[Need]:
-    share = _busiest(results, "router")
-    core = None if share is None else share.core
-    traffic = None if share is None else share.sent + share.received
-    messages = None if share is None else share.messages
-    real = max(results.real, key=lambda one: one.processes, default=None)
-    kept = _value(results, "members.kept")
-    policy = None
-    check, adopt = _value(results, "policy.check"), _value(results, "policy.adopt")
+    usage = _usage(results, "router")
+    core = None if usage is None else usage.core
+    traffic = None if usage is None else usage.sent + usage.received
+    messages = None if usage is None else usage.messages  # sent; about as many are received
+    real = max(results.real, key=lambda run: run.processes, default=None)
+    list_memory = _planned_cost(results, "members.kept")
+    policy_core = None
+    check, adopt = _planned_cost(results, "policy.check"), _planned_cost(results, "policy.adopt")
     if check is not None and adopt is not None:
-        policy = (check + adopt) * plan.CHANGES_A_SECOND
+        policy_core = (check + adopt) * plan.CHANGES_A_SECOND
     return [
         Need(
             "router",
@@ -168,20 +183,20 @@
         ),
         Need(
             "router",
-            f"check of and change to policies of {LARGE_POLICY / 1024:.0f} KB: processor time",
-            policy,
+            f"check of and change to policies of {LARGE_POLICY_BYTES / 1024:.0f} KB: processor time",
+            policy_core,
             plan.ROUTER_CORE_SHARE,
             Unit.CORE,
-            How.RECKONED,
+            How.CALCULATED,
             "whole policies are checked; missing for larger ones: parts of a policy",
         ),
         Need(
             "router",
             "changes to the list of members: processor time",
-            _per_second(_value(results, "members.delta"), LIST_CHANGES),
+            _cost_times(_planned_cost(results, "members.delta"), LIST_CHANGES_A_SECOND),
             plan.ROUTER_CORE_SHARE,
             Unit.CORE,
-            How.RECKONED,
+            How.CALCULATED,
             "deltas; each still costs O(members)",
         ),
         Need(
@@ -196,7 +211,7 @@
         Need(
             "router",
             "the list of members: memory",
-            kept,
+            list_memory,
             plan.ROUTER_MEMORY,
             Unit.BYTES,
             How.ALONE,
@@ -205,10 +220,10 @@
         Need(
             "router",
             "a process with the list of members: memory that is its own",
-            None if real is None or kept is None else real.memory_alone + kept,
+            None if real is None or list_memory is None else real.memory_alone + list_memory,
             plan.ROUTER_MEMORY,
             Unit.BYTES,
-            How.RECKONED,
+            How.CALCULATED,
             "interpreter and libraries are most of it; control shares them with the data plane",
         ),
         Need(
@@ -223,11 +238,11 @@
         Need(
             "router",
             "headers and acknowledgements of these",
-            None if messages is None else 2 * messages * SEGMENTS_A_MESSAGE * HEADERS,
+            None if messages is None else 2 * messages * SEGMENTS_PER_MESSAGE * HEADER_BYTES,
             plan.ROUTER_BYTES,
             Unit.BYTES_A_SECOND,
-            How.RECKONED,
-            f"{HEADERS:.0f} bytes a segment, one acknowledgement a message",
+            How.CALCULATED,
+            f"{HEADER_BYTES:.0f} bytes a segment, one acknowledgement a message",
         ),
         *[
             Need(
@@ -236,7 +251,7 @@
                 size * plan.CHANGES_A_SECOND,
                 plan.ROUTER_BYTES,
                 Unit.BYTES_A_SECOND,
-                How.RECKONED,
+                How.CALCULATED,
                 "missing: a change as a delta against the policy in force",
             )
             for size in plan.POLICY_SIZES[2:]
@@ -244,24 +259,24 @@
         Need(
             "router",
             "changes to the list of members: payload",
-            _per_second(_value(results, "members.delta.bytes"), LIST_CHANGES),
+            _cost_times(_planned_cost(results, "members.delta.bytes"), LIST_CHANGES_A_SECOND),
             plan.ROUTER_BYTES,
             Unit.BYTES_A_SECOND,
-            How.RECKONED,
+            How.CALCULATED,
             "deltas of a long poll",
         ),
     ]
 
 
 def _voter(results: Results) -> list[Need]:
-    share = _busiest(results, "voter")
-    direct = _value(results, "direct.voter.core")
-    saves = _value(results, "policy.save.bytes")
+    usage = _usage(results, "voter")
+    direct_core = _planned_cost(results, "direct.voter.core")
+    save_bytes = _planned_cost(results, "policy.save.bytes")
     return [
         Need(
             "voter",
             "every router leases from the voters, at rest: processor time",
-            direct,
+            direct_core,
             plan.VOTER_CORE_SHARE,
             Unit.CORE,
             How.HOLLOW,
@@ -270,7 +285,7 @@
         Need(
             "voter",
             "leases of the aggregators and changes: processor time",
-            None if share is None else share.core,
+            None if usage is None else usage.core,
             plan.VOTER_CORE_SHARE,
             Unit.CORE,
             How.HOLLOW,
@@ -282,7 +297,7 @@
             float(plan.ROUTERS),
             float(MAX_HOLDERS),
             Unit.COUNT,
-            How.RECKONED,
+            How.CALCULATED,
             "a full table refuses with its reason",
         ),
         Need(
@@ -291,28 +306,28 @@
             float(plan.AGGREGATORS + plan.VOTERS - 1),
             float(MAX_HOLDERS),
             Unit.COUNT,
-            How.RECKONED,
+            How.CALCULATED,
             "lease aggregators",
         ),
         Need(
             "voter",
-            f"written to disk for changes of {LARGE_POLICY / 1024:.0f} KB",
-            _per_second(saves, plan.SAVES_PER_CHANGE * plan.CHANGES_A_SECOND),
+            f"written to disk for changes of {LARGE_POLICY_BYTES / 1024:.0f} KB",
+            _cost_times(save_bytes, plan.SAVES_PER_CHANGE * plan.CHANGES_A_SECOND),
             None,
             Unit.BYTES_A_SECOND,
-            How.RECKONED,
+            How.CALCULATED,
             "two files in turn, whole state each time",
         ),
     ]
 
 
 def _aggregator(results: Results) -> list[Need]:
-    share = _busiest(results, "aggregator")
+    usage = _usage(results, "aggregator")
     return [
         Need(
             "aggregator",
             "sub-leases and changes: processor time",
-            None if share is None else share.core,
+            None if usage is None else usage.core,
             plan.AGGREGATOR_CORE_SHARE,
             Unit.CORE,
             How.HOLLOW,
@@ -321,7 +336,7 @@
         Need(
             "aggregator",
             "resident memory",
-            None if share is None else share.memory,
+            None if usage is None else usage.memory,
             None,
             Unit.BYTES,
             How.HOLLOW,
@@ -331,16 +346,16 @@
 
 
 def _changes(results: Results) -> list[Need]:
-    found: list[Need] = []
-    for series in tiered_fleets(results) or [()]:
+    change_needs: list[Need] = []
+    for series in tiered_fleets(results) or [()]:  # without a measured fleet, rows that say so
         fleet = f"{series[0].routers:,} routers" if series else "no fleet"
-        quiet, deadly = undisturbed(series), with_deaths(series)
+        undisturbed, with_kills = undisturbed_times(series), times_with_kills(series)
         limited = limited_by_machine(results, series[0].routers, series[0].aggregators) if series else ""
-        found += [
+        change_needs += [
             Need(
                 "change",
                 f"in force everywhere, median, nothing killed, {fleet}",
-                statistics.median(quiet) if quiet else None,
+                statistics.median(undisturbed) if undisturbed else None,
                 plan.CHANGE_MEDIAN,
                 Unit.SECONDS,
                 How.HOLLOW,
@@ -349,7 +364,7 @@
             Need(
                 "change",
                 f"in force everywhere, median, with a death in each, {fleet}",
-                statistics.median(deadly) if deadly else None,
+                statistics.median(with_kills) if with_kills else None,
                 plan.CHANGE_MEDIAN,
                 Unit.SECONDS,
                 How.HOLLOW,
@@ -358,7 +373,7 @@
             Need(
                 "change",
                 f"in force everywhere, 99 of 100, with a death in each, {fleet}",
-                percentile(deadly, 0.99) if deadly else None,
+                percentile(with_kills, 0.99) if with_kills else None,
                 plan.CHANGE_PERCENTILE_99,
                 Unit.SECONDS,
                 How.HOLLOW,
@@ -366,61 +381,62 @@
             ),
         ]
     fastest = fastest_run(results)
-    held = len(fastest.times) / fastest.seconds if fastest is not None and fastest.times else None
+    highest_rate = len(fastest.times) / fastest.seconds if fastest is not None and fastest.times else None
     fleet = f"{fastest.routers:,} routers" if fastest is not None else "no fleet"
-    found.append(
+    change_needs.append(
         Need(
             "change",
             f"seconds that one takes, of those between two at the planned rate, {fleet}",
-            None if held is None else 1.0 / held,
+            None if highest_rate is None else 1.0 / highest_rate,
             1.0 / plan.CHANGES_A_SECOND,
             Unit.SECONDS,
             How.HOLLOW,
             "one change at a time; missing for more: several in one",
         )
     )
-    return found
+    return change_needs
 
 
 def _discovery(results: Results) -> list[Need]:
-    delta, ask = _value(results, "members.delta.bytes"), _value(results, "members.ask.bytes")
-    whole = _value(results, "members.list.bytes")
-    answers = plan.ROUTERS * max(LIST_CHANGES, 1.0 / LONG_POLL)
+    delta_bytes = _planned_cost(results, "members.delta.bytes")
+    call_bytes = _planned_cost(results, "members.ask.bytes")
+    list_bytes = _planned_cost(results, "members.list.bytes")
+    answers_a_second = plan.ROUTERS * max(LIST_CHANGES_A_SECOND, 1.0 / LONG_POLL)
     return [
         Need(
             "discovery",
             "answers to all routers",
-            answers,
+            answers_a_second,
             None,
             Unit.A_SECOND,
-            How.RECKONED,
+            How.CALCULATED,
             "long polls: each change answers all of them; missing: a tier of caches",
         ),
         Need(
             "discovery",
             "payload of changes to all routers",
-            _per_second(delta, plan.ROUTERS * LIST_CHANGES),
+            _cost_times(delta_bytes, plan.ROUTERS * LIST_CHANGES_A_SECOND),
             None,
             Unit.BYTES_A_SECOND,
-            How.RECKONED,
+            How.CALCULATED,
             "deltas",
         ),
         Need(
             "discovery",
             "payload of questions of all routers",
-            _per_second(ask, answers),
+            _cost_times(call_bytes, answers_a_second),
             None,
             Unit.BYTES_A_SECOND,
-            How.RECKONED,
+            How.CALCULATED,
             "one question after each answer",
         ),
         Need(
             "discovery",
             "whole lists to the routers of a zone that comes back",
-            _per_second(whole, plan.ROUTERS / plan.ZONES_IN_ALL_REGIONS),
+            _cost_times(list_bytes, plan.ROUTERS / plan.ZONES_IN_ALL_REGIONS),
             None,
             Unit.BYTES,
-            How.RECKONED,
+            How.CALCULATED,
             "missing: the list kept on disk over a restart",
         ),
     ]
@@ -434,7 +450,7 @@
             float(plan.ROUTERS),
             None,
             Unit.COUNT,
-            How.RECKONED,
+            How.CALCULATED,
             "missing: a part of the members for each router",
         ),
         Need(
@@ -443,7 +459,7 @@
             float(plan.MEMBER_CONNECTIONS),
             None,
             Unit.COUNT,
-            How.RECKONED,
+            How.CALCULATED,
             "missing: a part of the members for each router",
         ),
     ]
@@ -454,7 +470,7 @@
         Need(
             "operator's tool",
             "answer of a voter with every router as a holder",
-            _value(results, "operator.show.bytes"),
+            _planned_cost(results, "operator.show.bytes"),
             None,
             Unit.BYTES,
             How.ALONE,
@@ -463,7 +479,7 @@
         Need(
             "operator's tool",
             "its time to read that answer",
-            _value(results, "operator.show.tool"),
+            _planned_cost(results, "operator.show.tool"),
             None,
             Unit.SECONDS,
             How.ALONE,
@@ -473,15 +489,15 @@
 
 
 def _data_plane(results: Results) -> list[Need]:
-    statement = _value(results, "data.statement")
+    statement_seconds = _planned_cost(results, "data.statement")
     return [
         Need(
             "data plane",
             f"{plan.STATEMENTS_PER_ROUTER:,.0f} statements a second: processor time",
-            _per_second(statement, plan.STATEMENTS_PER_ROUTER),
-            ONE_CORE,
+            _cost_times(statement_seconds, plan.STATEMENTS_PER_ROUTER),
+            ROUTER_CORES,
             Unit.CORE,
-            How.RECKONED,
+            How.CALCULATED,
             "missing: more than one process on a machine behind one address",
         ),
         Need(
@@ -490,7 +506,7 @@
             plan.CLIENTS_PER_ROUTER,
             float(Limits().clients),
             Unit.COUNT,
-            How.RECKONED,
+            How.CALCULATED,
             "the limit that a file has by default",
         ),
     ]
--- a/banklift/rig/capacity_results.py
+++ b/banklift/rig/capacity_results.py
@@ -1,6 +1,7 @@
-"""What the benchmark of capacity writes and the page is made from: typed, as one JSON file.
+"""The results of the capacity benchmark: one JSON file, from which the capacity page is made.
 
-Costs are in seconds, bytes and parts of a core; the page chooses the units that it shows.
+Costs are in seconds, bytes and fractions of a core; the page chooses the units that it shows. The names of all fields
+and the values of the enums are stored. A fleet "at rest" is one without changes, faults and requests.
 """
 
 from __future__ import annotations
@@ -15,20 +16,20 @@
 
 from banklift.rig import slopes
 
-FORMAT = 1  # of the file
+FORMAT = 1  # version of the file's format
 
 
 class How(StrEnum):
-    """Where a figure comes from."""
+    """How a figure was obtained."""
 
-    ALONE = "measured alone"  # the code under measurement in one process, without sockets
-    HOLLOW = "measured, hollow"  # real control code and TCP, many routers to a process, no data plane
-    REAL = "measured, real"  # the program as an operator starts it
-    RECKONED = "reckoned"  # by arithmetic from measured figures and the plan
+    ALONE = "measured alone"  # the measured code alone in one process, without sockets
+    HOLLOW = "measured, hollow"  # a hollow fleet: real control code and TCP, many routers in a process, no data plane
+    REAL = "measured, real"  # `banklift` processes, as an operator starts them
+    CALCULATED = "reckoned"  # from measured figures and the plan
 
 
 class Victim(StrEnum):
-    """What is ended at a drawn moment; by SIGKILL unless said otherwise."""
+    """What a fault ends at a random time, by SIGKILL unless the value names SIGTERM."""
 
     NOBODY = ""
     ROUTER = "a router"
@@ -38,127 +39,126 @@
 
 
 class Machine(msgspec.Struct, frozen=True):
-    """Where a part was measured, and how busy it was: load averages of one minute."""
+    """The machine on which a part of the benchmark ran, and its load averages of one minute."""
 
     cores: int
     memory: int  # bytes
-    python: str
-    kernel: str
-    commit: str
+    python: str  # version
+    kernel: str  # version
+    commit: str  # version of this project, as `git describe` names it
     load_before: float
     load_after: float
 
 
 class Slope(msgspec.Struct, frozen=True):
-    """A cost measured at several sizes, with the form that was fitted, and its value at the planned size."""
+    """A cost that was measured at several sizes, how it grows (slopes.py), and its value at the planned size."""
 
-    key: str
-    role: str
-    what: str
-    unit: str
-    against: str
+    key: str  # identifies the slope
+    role: str  # whose cost it is
+    what: str  # which cost it is, in words
+    unit: str  # of the cost
+    against: str  # what the sizes count, in words
     how: How
     points: tuple[tuple[float, float], ...]  # size and cost
-    form: str
+    form: str  # a `GrowthForm`
     base: float
     factor: float
-    residual: float
-    size: float
-    value: float  # at `size`: as measured where that size was, else by the form
+    residual: float  # root mean square of the relative errors
+    size: float  # the planned size
+    value: float  # cost at `size`: as measured if that size was, else as fitted
 
 
-class Share(msgspec.Struct, frozen=True):
-    """What one process of a kind used: the mean over its processes, and the most of one."""
+class ResourceUsage(msgspec.Struct, frozen=True):
+    """What the members of one kind used in a hollow fleet, on average unless said otherwise."""
 
     processes: int
-    members: int  # routers in them, or processes
-    core: float  # of a core, a member
-    core_most: float  # of one process
-    memory: float  # bytes a member
-    sent: float  # bytes a second a member, payload
-    received: float
-    messages: float  # a second a member, sent
+    members: int  # that run in these processes
+    core: float  # fraction of a core, for each member
+    core_most: float  # fraction of a core, of the process that used most
+    memory: float  # bytes for each member
+    sent: float  # bytes of payload a second, for each member
+    received: float  # bytes of payload a second, for each member
+    messages: float  # sent a second, for each member
 
 
 class Rest(msgspec.Struct, frozen=True):
-    """A hollow fleet at rest: all up, no change."""
+    """A hollow fleet at rest: all members run, and no change is under way."""
 
-    routers: int
+    routers: int  # without the voters
     voters: int
-    aggregators: int
-    lease: float
-    sub_lease: float
-    seconds: float
-    router: Share
-    voter: Share
-    aggregator: Share | None
-    machine_core: float  # cores used by all of its processes
-    start: float  # seconds from the first process to the last router's lease
-    refusing: int  # times that a router was without a lease, after its first
+    aggregators: int  # 0: the routers lease from the voters
+    lease: float  # seconds
+    sub_lease: float  # seconds; 0 without aggregators
+    seconds: float  # for which it was measured
+    router: ResourceUsage
+    voter: ResourceUsage
+    aggregator: ResourceUsage | None  # None without aggregators
+    machine_core: float  # cores that all processes of the fleet use together
+    start: float  # seconds from the start of the first process until the last router had its lease
+    refusing: int  # lapses: times that a router had no lease after its first one
 
 
 class Changes(msgspec.Struct, frozen=True):
-    """Changes in a hollow fleet. `kill`: what was killed at a drawn moment; empty: nothing."""
+    """A series of changes of policy in a hollow fleet, each with the same kind of fault or none."""
 
-    routers: int
+    routers: int  # without the voters
     voters: int
-    aggregators: int
-    lease: float
-    sub_lease: float
-    kill: str
-    rate: float  # changes a second that were asked for; 0: one after the other
-    policy: int  # bytes
-    times: tuple[
-        float, ...
-    ]  # seconds from the operator's word until the last live router serves the new policy
-    told: tuple[float, ...]  # ... until the operator was told "in force"
-    failed: int  # changes that did not come into force in time
-    seconds: float  # that the whole took
-    router: Share
-    voter: Share
-    aggregator: Share | None
-    machine_core: float  # cores used by all of its processes
-    refusing_most: float  # seconds that one router was without a lease, at the most
-    refusing_mean: float  # seconds that a router was without a lease for one change
+    aggregators: int  # 0: the routers lease from the voters
+    lease: float  # seconds
+    sub_lease: float  # seconds; 0 without aggregators
+    kill: str  # the `Victim` of each change; empty for none
+    rate: float  # changes a second that should begin; 0: one after the other
+    policy: int  # bytes of each policy
+    times: tuple[float, ...]  # seconds from the proposal until the last live router served the new policy
+    told: tuple[float, ...]  # seconds from the proposal until the operator was told "in force"
+    failed: int  # changes that were not in force everywhere in time
+    seconds: float  # that the whole series took
+    router: ResourceUsage
+    voter: ResourceUsage
+    aggregator: ResourceUsage | None  # None without aggregators
+    machine_core: float  # cores that all processes of the fleet use together
+    refusing_most: float  # seconds of the longest lapse, in which a router has no lease
+    refusing_mean: float  # seconds that a router had no lease, on average for one change
 
 
 class Death(msgspec.Struct, frozen=True):
-    """An aggregator was killed in a fleet at rest."""
+    """Aggregators of a hollow fleet at rest that were killed, one after the other."""
 
-    routers: int
+    routers: int  # without the voters
     aggregators: int
-    trials: int
-    moved: int  # routers that leased from it, in all trials
-    refusing: int  # times that any router was without a lease
-    refusing_most: float  # seconds
+    trials: int  # aggregators killed
+    moved: int  # routers that leased from them, in all trials together
+    refusing: int  # lapses: times that a router had no lease
+    refusing_most: float  # seconds of the longest lapse
 
 
 class RealRouter(msgspec.Struct, frozen=True):
-    """`banklift router` as processes, at rest, a fleet of voters among them."""
+    """Processes of `banklift router` at rest. The averages are over the routers that are no voters."""
 
-    processes: int
+    processes: int  # without the voters
     voters: int
-    seconds: float
-    core: float  # of a core, a process
-    memory: float  # bytes resident, a process
-    memory_alone: float  # bytes that it does not share
+    seconds: float  # for which they were measured
+    core: float  # fraction of a core, for each process
+    memory: float  # bytes resident, for each process
+    memory_alone: float  # bytes of these that a process does not share, for each process
 
 
 class Results(msgspec.Struct, frozen=True):
-    """Everything; a part that was not measured is empty."""
+    """The whole file. What was not measured is empty."""
 
     format: int = FORMAT
-    machines: dict[str, Machine] = {}  # by part
+    machines: dict[str, Machine] = {}  # by part of the benchmark
     slopes: tuple[Slope, ...] = ()
-    before: tuple[Slope, ...] = ()  # of the lease table with its scans
+    before: tuple[Slope, ...] = ()  # of an older version, whose lease table scanned all holders
     rests: tuple[Rest, ...] = ()
     changes: tuple[Changes, ...] = ()
     deaths: tuple[Death, ...] = ()
     real: tuple[RealRouter, ...] = ()
-    notes: tuple[str, ...] = ()  # what a run could not do, in words
+    notes: tuple[str, ...] = ()  # what a run could not measure, and why
 
     def slope(self, key: str) -> Slope | None:
-        return next((one for one in self.slopes if one.key == key), None)
+        """The slope with this key, or None if it was not measured."""
+        return next((slope for slope in self.slopes if slope.key == key), None)
 
 
 def fitted(
@@ -171,9 +171,13 @@
     points: Sequence[tuple[float, float]],
     size: float,
 ) -> Slope:
-    """A slope with its fit. Errors: `ValueError` with fewer than two points."""
+    """Make a slope by fitting the points, pairs of size and cost. `size`: the planned size. The other arguments are
+    fields of `Slope`.
+
+    Errors: `ValueError` with fewer than two points.
+    """
     fit = slopes.simplest_fit([slopes.Point(*point) for point in points])
-    measured = next((cost for at, cost in points if at == size), None)
+    measured = next((cost for point_size, cost in points if point_size == size), None)
     value = fit.cost(size) if measured is None else measured
     return Slope(
         key,
@@ -193,11 +197,12 @@
 
 
 def load_average() -> float:
+    """The machine's load average of one minute."""
     return os.getloadavg()[0]
 
 
 def machine(commit: str, load_before: float) -> Machine:
-    """This machine; the part that was measured has ended."""
+    """This machine, once the part that was measured has ended. `load_before`: `load_average` at its start."""
     memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
     return Machine(
         os.cpu_count() or 1,
@@ -211,9 +216,10 @@
 
 
 def read(path: Path) -> Results:
-    """Errors: `OSError`, `msgspec.DecodeError`."""
+    """Read a file of results. Errors: `OSError`, `msgspec.DecodeError`."""
     return msgspec.json.decode(path.read_bytes(), type=Results)
 
 
 def write(path: Path, results: Results) -> None:
+    """Write a file of results. Errors: `OSError`."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(results), indent=1) + b"\n")
--- a/banklift/rig/capacity_trials.py
+++ b/banklift/rig/capacity_trials.py
@@ -14,7 +14,7 @@
 
 import anyio
 
-from banklift.rig.capacity_results import Changes, Death, Rest, Share, Victim
+from banklift.rig.capacity_results import Changes, Death, ResourceUsage, Rest, Victim
 from banklift.rig.hollow_fleet import ChangeTimes, HollowFleet
 from banklift.rig.hollow_messages import Figures, Kind
 
@@ -33,7 +33,7 @@
     before = await fleet.figures()
     await anyio.sleep(seconds)
     after = await fleet.figures()
-    shares = shares_of(fleet, before, after)
+    usage = usage_by_kind(fleet, before, after)
     return Rest(
         shape.routers,
         shape.voters,
@@ -41,30 +41,30 @@
         shape.lease,
         shape.sub_lease,
         seconds,
-        shares[Kind.ROUTERS],
-        shares[Kind.VOTER],
-        shares.get(Kind.AGGREGATOR),
+        usage[Kind.ROUTERS],
+        usage[Kind.VOTER],
+        usage.get(Kind.AGGREGATOR),
         sum(_cpu(name, before, after) for name in after) / seconds,
         start,
         sum(after[name].lapses - before[name].lapses for name in after),
     )
 
 
-def shares_of(
+def usage_by_kind(
     fleet: HollowFleet, before: Mapping[str, Figures], after: Mapping[str, Figures]
-) -> dict[Kind, Share]:
+) -> dict[Kind, ResourceUsage]:
     """What the processes of each kind used between two reports, by the name of the process. A process that another one
     replaced in between is left out, and so is one that is only in the second report."""
     return {
-        kind: _share(fleet, kind, before, after)
+        kind: _usage(fleet, kind, before, after)
         for kind in Kind
         if any(host.name in after for host in fleet.hosts_of(kind))
     }
 
 
-def _share(
+def _usage(
     fleet: HollowFleet, kind: Kind, before: Mapping[str, Figures], after: Mapping[str, Figures]
-) -> Share:
+) -> ResourceUsage:
     hosts = [host for host in fleet.hosts_of(kind) if host.name in after]
     members = sum(len(host.spec.names) for host in hosts)
     cores, sent, received, messages, memory = [], 0.0, 0.0, 0.0, 0.0
@@ -79,7 +79,7 @@
         messages += (new.messages - old.messages) / seconds
         memory += new.memory - (new.memory_empty if kind is Kind.ROUTERS else 0)
     counted_members = members * len(cores) / len(hosts) if cores else math.inf
-    return Share(
+    return ResourceUsage(
         len(hosts),
         members,
         sum(cores) / counted_members,
@@ -113,7 +113,7 @@
             await _recover(fleet)
     elapsed = time.monotonic() - begin
     after = await fleet.figures()
-    shares = shares_of(fleet, before, after)
+    usage = usage_by_kind(fleet, before, after)
     lapsed = sum(
         max(0.0, figures.lapsed - (before[name].lapsed if name in before else 0.0))
         for name, figures in after.items()
@@ -132,9 +132,9 @@
         tuple(round(times.confirmed_seconds, 3) for times in in_force),
         len(finished) - len(in_force),
         elapsed,
-        shares[Kind.ROUTERS],
-        shares[Kind.VOTER],
-        shares.get(Kind.AGGREGATOR),
+        usage[Kind.ROUTERS],
+        usage[Kind.VOTER],
+        usage.get(Kind.AGGREGATOR),
         sum(_cpu(name, before, after) for name in after) / elapsed,
         max(figures.longest for figures in after.values()),
         lapsed / max(1, len(finished)) / (shape.routers + shape.voters),
