--- a/banklift/rig/capacity_alone.py
+++ b/banklift/rig/capacity_alone.py
@@ -120,7 +120,7 @@
             series.what,
             series.unit,
             against,
-            How.ALONE,
+            How.ISOLATED,
             [(size, series.cost(costs)) for size, costs in measurements],
             planned_size,
         )
--- a/banklift/rig/capacity_needs.py
+++ b/banklift/rig/capacity_needs.py
@@ -214,7 +214,7 @@
             list_memory,
             plan.ROUTER_MEMORY,
             Unit.BYTES,
-            How.ALONE,
+            How.ISOLATED,
             "a record a member",
         ),
         Need(
@@ -473,7 +473,7 @@
             _planned_cost(results, "operator.show.bytes"),
             None,
             Unit.BYTES,
-            How.ALONE,
+            How.ISOLATED,
             "with aggregators a voter lists these, with counts",
         ),
         Need(
@@ -482,7 +482,7 @@
             _planned_cost(results, "operator.show.tool"),
             None,
             Unit.SECONDS,
-            How.ALONE,
+            How.ISOLATED,
             "the same",
         ),
     ]
--- a/banklift/rig/capacity_page.py
+++ b/banklift/rig/capacity_page.py
@@ -508,7 +508,7 @@
         [
             "the change is read and known to the decision module",
             format_figure(read_time, Unit.SECONDS),
-            How.ALONE,
+            How.ISOLATED,
         ],
         ["writes that were held go to the new primary", "at once", ""],
         [
--- a/banklift/rig/capacity_results.py
+++ b/banklift/rig/capacity_results.py
@@ -22,7 +22,7 @@
 class How(StrEnum):
     """How a figure was obtained."""
 
-    ALONE = "measured alone"  # the measured code alone in one process, without sockets
+    ISOLATED = "measured alone"  # the measured code alone in one process, without sockets
     HOLLOW = "measured, hollow"  # a hollow fleet: real control code and TCP, many routers in a process, no data plane
     REAL = "measured, real"  # `banklift` processes, as an operator starts them
     CALCULATED = "reckoned"  # from measured figures and the plan
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -1,6 +1,7 @@
-"""Hollow fleets: real control processes and many routers to a process come up, change and survive deaths.
+"""Hollow fleets start, put changes of policy in force everywhere, and survive kills of routers and aggregators.
 
-Nothing here depends on how fast the machine is: all waits are for what the processes tell.
+A hollow router leases as a real one does but serves no traffic; many of them run in one process. All waits are for
+reports of the processes, so no test depends on the speed of the machine.
 """
 
 from __future__ import annotations
@@ -17,53 +18,54 @@
 from banklift.rig.capacity_trials import changes, death, rest
 from banklift.rig.hollow_fleet import HollowFleet, Shape, hollow_fleet
 
-PATIENCE = 60.0  # seconds that a change may take here, on a machine however busy
+CHANGE_TIMEOUT = 60.0  # seconds, enough on a busy machine
 DIRECT = Shape(routers=20, voters=3, lease=4.0, per_process=10)
 TIERED = Shape(routers=20, voters=3, aggregators=2, lease=4.0, sub_lease=2.6, per_process=10)
 
 
 @asynccontextmanager
-async def started(shape: Shape, folder: Path) -> AsyncIterator[HollowFleet]:
+async def started_fleet(shape: Shape, folder: Path) -> AsyncIterator[HollowFleet]:
+    """A fleet all of whose members serve."""
     async with hollow_fleet(shape, folder) as fleet:
         await fleet.start()
         yield fleet
 
 
 async def change_once(fleet: HollowFleet) -> None:
-    """One change takes hold everywhere."""
-    before = fleet.epoch
-    done = await fleet.change(PATIENCE)
-    assert done.result == Result.IN_FORCE
-    assert fleet.epoch == before + 1 and fleet.all_serve(fleet.epoch)
-    assert 0 < done.confirmed_seconds <= done.everywhere_seconds < math.inf
+    """Change the policy and check that all live members serve it, under the next epoch."""
+    previous_epoch = fleet.epoch
+    change = await fleet.change(CHANGE_TIMEOUT)
+    assert change.result == Result.IN_FORCE
+    assert fleet.epoch == previous_epoch + 1 and fleet.all_serve(fleet.epoch)
+    assert 0 < change.confirmed_seconds <= change.everywhere_seconds < math.inf
 
 
-def test_a_change_with_routers_that_lease_from_voters(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with started(DIRECT, tmp_path) as fleet:
+def test_change_is_in_force_where_routers_lease_from_voters(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with started_fleet(DIRECT, tmp_path) as fleet:
             await change_once(fleet)
             figures = await fleet.figures()
             assert set(figures) == {"voter0", "voter1", "voter2", "routers0", "routers1"}
-            for told in figures.values():
-                assert told.cpu > 0 and told.sent > 0 and told.received > 0 and told.memory > 0
+            for usage in figures.values():
+                assert usage.cpu > 0 and usage.sent > 0 and usage.received > 0 and usage.memory > 0
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
-def test_a_change_with_routers_that_lease_from_aggregators(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with started(TIERED, tmp_path) as fleet:
+def test_change_is_in_force_where_routers_lease_from_aggregators(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with started_fleet(TIERED, tmp_path) as fleet:
             assert all(len(choice) == 2 for choice in fleet.choices.values())
             await change_once(fleet)
             figures = await fleet.figures()
             assert figures["aggregator0"].received > 0 and figures["aggregator1"].received > 0
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
-def test_changes_take_hold_after_a_router_and_an_aggregator_were_killed(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with started(TIERED, tmp_path) as fleet:
+def test_change_is_in_force_after_a_router_or_an_aggregator_is_killed(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with started_fleet(TIERED, tmp_path) as fleet:
             await fleet.kill_routers(["router3"])
             await change_once(fleet)
             await fleet.start_routers(["router3"])
@@ -72,48 +74,51 @@
             await fleet.start_process("aggregator0")
             await change_once(fleet)
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
-def test_a_router_that_leaves_holds_nothing_back(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with started(TIERED, tmp_path) as fleet:
+def test_change_is_in_force_after_routers_leave(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with started_fleet(TIERED, tmp_path) as fleet:
             await fleet.leave_routers(["router1", "router2"])
             await change_once(fleet)
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
-def test_a_router_that_leaves_and_starts_at_once_serves(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with started(TIERED, tmp_path) as fleet:
+def test_routers_that_leave_and_start_at_once_serve_again(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with started_fleet(TIERED, tmp_path) as fleet:
             await fleet.leave_routers(["router1", "router2"])
             await fleet.start_routers(["router1", "router2"])
             await change_once(fleet)
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
-def test_processes_end_with_the_fleet(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with started(DIRECT, tmp_path) as fleet:
+def test_all_processes_end_with_the_fleet(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with started_fleet(DIRECT, tmp_path) as fleet:
             processes = [host.process for host in fleet.hosts.values()]
         assert all(process is not None and process.returncode is not None for process in processes)
 
-    anyio.run(play)
-
-
-def test_trials_tell_what_was_tried_and_used(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with started(TIERED, tmp_path) as fleet:
-            watched = await rest(fleet, 0.5, 1.0)
-            assert (watched.routers, watched.voters, watched.aggregators) == (20, 3, 2)
-            assert watched.router.processes == 2 and watched.router.members == 20
-            assert watched.aggregator is not None and watched.aggregator.messages > 0
-            tried = await changes(fleet, Victim.ROUTERS, 2, 0.0, seed=1)
-            assert tried.kill == "five routers" and len(tried.times) + tried.failed == 2
-            assert all(told <= time for told, time in zip(tried.told, tried.times, strict=True))
-            died = await death(fleet, 1, seed=1)
-            assert died.trials == 1 and 0 < died.moved <= 20
-
-    anyio.run(play)
+    anyio.run(scenario)
+
+
+def test_trials_report_the_fleet_its_usage_and_the_changes(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with started_fleet(TIERED, tmp_path) as fleet:
+            idle = await rest(fleet, 0.5, 1.0)
+            assert (idle.routers, idle.voters, idle.aggregators) == (20, 3, 2)
+            assert idle.router.processes == 2 and idle.router.members == 20
+            assert idle.aggregator is not None and idle.aggregator.messages > 0
+            series = await changes(fleet, Victim.ROUTERS, 2, 0.0, seed=1)
+            assert series.kill == "five routers" and len(series.times) + series.failed == 2
+            assert all(
+                confirmed <= everywhere
+                for confirmed, everywhere in zip(series.told, series.times, strict=True)
+            )
+            kills = await death(fleet, 1, seed=1)
+            assert kills.trials == 1 and 0 < kills.moved <= 20
+
+    anyio.run(scenario)
