--- a/banklift/rig/capacity_grantor.py
+++ b/banklift/rig/capacity_grantor.py
@@ -47,8 +47,8 @@
 SURVEY_INTERVAL = 0.2  # seconds of virtual time after which the driver surveys again
 MESSAGE_INTERVAL = 0.0001  # seconds of virtual time between two messages
 AGREEMENT_TIME = 0.3  # seconds of virtual time in which a change that all holders accept is agreed
-FIRST_POLICY = b"first policy "
-SECOND_POLICY = b"second policy "
+FIRST_POLICY_PREFIX = b"first policy "
+SECOND_POLICY_PREFIX = b"second policy "
 
 
 class Tier(StrEnum):
@@ -58,7 +58,7 @@
     AGGREGATOR = "aggregator"
 
 
-def policy_text(size: int, prefix: bytes = FIRST_POLICY) -> bytes:
+def policy_text(size: int, prefix: bytes = FIRST_POLICY_PREFIX) -> bytes:
     """A policy's text of so many bytes, or the prefix if that is longer."""
     return prefix + b"x" * max(0, size - len(prefix))
 
@@ -88,13 +88,13 @@
     `policy_size`: bytes of the policies. Time is virtual and passes in `advance` and between two requests.
     """
 
-    def __init__(self, tier: Tier, holders: int, policy_size: int = len(FIRST_POLICY)) -> None:
+    def __init__(self, tier: Tier, holders: int, policy_size: int = len(FIRST_POLICY_PREFIX)) -> None:
         self.tier = tier
         self.now = 1000.0  # seconds on the clock of all
         self.voters = (MEASURED, DRIVER) if tier is Tier.VOTER else (DRIVER,)
         self.sub_lease = SUB_LEASE if tier is Tier.AGGREGATOR else 0.0
         self.policy = policy_text(policy_size)  # in force
-        self.next_policy = policy_text(policy_size, SECOND_POLICY)  # to be proposed
+        self.next_policy = policy_text(policy_size, SECOND_POLICY_PREFIX)  # to be proposed
         self.driver = self._voter(DRIVER)
         self.measured: Member = self._voter(MEASURED)
         if tier is Tier.AGGREGATOR:
@@ -253,9 +253,7 @@
     holders: int
     rest: float  # seconds of a lease request while no change is under way
     checking: float  # seconds of a lease request while holders check a change
-    closing: (
-        float  # seconds of a lease request while only short leases are granted, so that the epoch can switch
-    )
+    closing: float  # seconds of a lease request while only short leases are granted, before the switch
     survey: float = 0.0  # seconds of one survey by another voter; 0 for an aggregator, which is not surveyed
     survey_bytes: int = 0  # of the answer to a survey; 0 for an aggregator
 
--- a/banklift/rig/capacity_members.py
+++ b/banklift/rig/capacity_members.py
@@ -40,8 +40,8 @@
 
 
 def targets(members: int) -> list[dict[str, object]]:
-    """The entries of a list of so many members, as the catalogue has them. The place of a member in the list can be
-    read from its address, in which only 1 to 250 are used as last numbers."""
+    """The entries of a list of so many members, as the catalogue has them. A member's address encodes its place in the
+    list, with a last number of 1 to 250."""
     return [
         {
             "uid": f"s-{place:08x}",
@@ -71,7 +71,8 @@
 class RouterHarness:
     """One router's state machine and its discovery client, with simulated members and clients in virtual time.
 
-    Time passes only in `run`. Methods that return processor seconds count the router's code alone, not the simulation.
+    Time passes only in `run`. The processor seconds that methods return are the router's, without the simulation, but
+    for `receive_list`, which includes the simulated ends of the links that the list makes the router open.
     """
 
     def __init__(self, members: int) -> None:
--- a/banklift/rig/capacity_plan.py
+++ b/banklift/rig/capacity_plan.py
@@ -56,13 +56,9 @@
 SIZES = (40, 200, 1_000, 6_200)  # lease holders of one grantor
 FLEET_SIZES = (200, 1_000, 3_000, 6_200)  # routers of a hollow fleet
 LIST_SIZES = (100, 500, 2_000, 8_400)  # members in a list
-POLICY_SIZES = (
-    4 * 1024,
-    16 * 1024,
-    64 * 1024,
-    256 * 1024 - 512,
-)  # bytes; the last: the limit, less a margin for its frame
-SAVES_PER_CHANGE = 6  # writes to disk by a voter: a promise and an acceptance for each of its three steps
+# bytes of a policy; the last one is the limit, less a margin for its frame
+POLICY_SIZES = (4 * 1024, 16 * 1024, 64 * 1024, 256 * 1024 - 512)
+SAVES_PER_CHANGE = 6  # writes to disk by a voter: a promise and an acceptance in each of 3 steps
 POLICY_USUAL = 4 * 1024  # bytes of a policy in the measured fleets
 
 # ---- settings of the planned fleet
--- a/banklift/rig/capacity_trials.py
+++ b/banklift/rig/capacity_trials.py
@@ -22,7 +22,7 @@
 CHANGE_TIMEOUT = 25.0  # seconds after which a change counts as failed
 MAX_FAULT_LEAD, MAX_FAULT_DELAY = 1.0, 1.5  # seconds by which a fault may precede or follow a proposal
 ROUTERS_KILLED = 5  # at once, by a fault of several routers
-AGGREGATOR_DOWN_SUB_LEASES = 1.5  # sub-leases after which a killed aggregator starts; all of its have ended
+AGGREGATOR_DOWN_SUB_LEASES = 1.5  # sub-leases until a killed aggregator starts; its own have ended by then
 AGGREGATOR_BACK_LEASES = 0.5  # leases from its start to the report
 
 
@@ -53,8 +53,8 @@
 def usage_by_kind(
     fleet: HollowFleet, before: Mapping[str, Figures], after: Mapping[str, Figures]
 ) -> dict[Kind, ResourceUsage]:
-    """What the processes of each kind used between two reports, by the name of the process. A process that another one
-    replaced in between is left out, and so is one that is only in the second report."""
+    """What the processes of each kind used between two reports; these are by the name of the process. A process that
+    was started in between, again or for the first time, is left out."""
     return {
         kind: _usage(fleet, kind, before, after)
         for kind in Kind
--- a/banklift/rig/hollow_fleet.py
+++ b/banklift/rig/hollow_fleet.py
@@ -340,7 +340,7 @@
     # ---- faults
 
     async def kill_routers(self, names: Iterable[str]) -> None:
-        """End these routers without a farewell, as SIGKILL to a real router would."""
+        """End these routers without giving their leases back, as SIGKILL to a real router would."""
         await self._command_members(names, Kill, -1)
 
     async def leave_routers(self, names: Iterable[str]) -> None:
