--- a/banklift/emulator/__init__.py
+++ b/banklift/emulator/__init__.py
@@ -1,1 +1,2 @@
-"""Stand-ins for members: RESP nodes with a log and replication by PSYNC."""
+"""Emulated servers for tests, trials and the `stand` command: RESP members that replicate by PSYNC, PostgreSQL members,
+the platform's catalogue of members, and a network and clock in virtual time."""
--- a/banklift/emulator/node.py
+++ b/banklift/emulator/node.py
@@ -1,14 +1,22 @@
-"""A stand-in member: a small RESP node with data, a log and replication, as a machine without I/O.
+"""An emulated Redis-like member: data, a replication log, replication by PSYNC and faults, without I/O.
 
-Theory of operation. Commands of one connection run in order; those of several share `cores`. A command takes work
-(seconds at speed 1); role questions take none, as they are answered from memory, but keep their place in their
-connection. The log is the replication stream itself: each write is appended as a command, and the offset counts its
-bytes. A replica connects to its primary, asks `PSYNC` with its history and offset, gets the part it lacks from the
-backlog or a whole copy, and from then on the stream, which it applies on one thread; it tells by `REPLCONF ACK` what
-it has applied. A promoted replica begins a new history and names the old one and its fork.
+`Node` is a state machine. Its owner (`NodeHost` in shell.py) passes in events (a connection opened, bytes arrived, a
+timer is due) with the current time in seconds, and carries out the actions that each call returns.
 
-Faults are set from outside (`Faults`): a hang that takes requests and answers none, running them or not; slowness, for
-all or towards some sources; a cap on connections; a share of requests cut off; slow applying; reports that understate.
+Commands. The commands of one connection run in order; all connections together share `cores`. A command that reads or
+writes data occupies a core for some time (its work: seconds at full speed). ROLE, INFO and the other control commands
+are answered from memory and occupy no core, but wait for the commands before them on the same connection.
+
+Replication. The log is the replication stream itself: each write is appended as a command in RESP, and the replication
+offset counts the bytes of the log. A replica connects to its primary and sends `PSYNC` with its replication ID and its
+offset. The primary answers with the missing part of the log if the backlog still holds it, else with a copy of all
+data, and streams its log from then on. The replica applies the stream on one thread and reports what it has applied
+with `REPLCONF ACK`. A promoted replica starts a new history: it draws a new replication ID and keeps the old one,
+with the offset at which the two histories part.
+
+Faults are set from outside, in `Faults`: a hang, in which requests get no answer but may still be executed; slowness
+for all clients or for some source addresses; a limit of connections; requests whose connection is closed; slow
+replication; reports that understate the load.
 """
 
 from __future__ import annotations
@@ -20,67 +28,94 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from banklift.emulator.store import SCRIPTS, Store
+from banklift.emulator.store import SCRIPT_COMMANDS, Store
 from banklift.resp.commands import Kind, lookup
 from banklift.resp.frames import CommandReader, Error, ProtocolError, Scanner, Simple, command, encode
 
-BACKLOG = 1024 * 1024  # bytes of the log kept for partial resyncs
-ACK_EVERY = 0.1  # seconds between a replica's acknowledgements
+BACKLOG_BYTES = 1024 * 1024  # the part of the log that is kept for partial resynchronisation
+ACK_INTERVAL_SECONDS = 0.1  # between two acknowledgements of a replica
+RECONNECT_DELAY_SECONDS = 0.1  # from the loss of the connection to the primary to the next attempt
+MAX_REQUEST_BYTES = 256 * 1024 * 1024  # one command of a client
+MAX_STREAM_COMMAND_BYTES = 1 << 30  # one command or transaction of the replication stream
+MIN_WORK_FACTOR = 0.7  # a command's work varies at random between these factors
+MAX_WORK_FACTOR = 1.3
+CUT_EXECUTE_PROBABILITY = 0.5  # that a command is executed although its connection is closed (`Faults.cut`)
+NO_REPLICATION_ID = "0" * 40
+UPSTREAM_ID = 0  # number of a replica's connection to its primary; accepted connections have higher numbers
 OK = Simple("OK")
 READONLY = Error("READONLY You can't write against a read only replica.")
-MULTI, EXEC = command("MULTI"), command("EXEC")
+MULTI = command("MULTI")
+EXEC = command("EXEC")
 
 
 @dataclass(slots=True)
 class Faults:
-    """What is wrong with a node now."""
-
-    hang: bool = False  # takes requests and answers none
-    hang_probes: bool = False  # nor questions for its role
-    hang_runs: float = 0.5  # share of the swallowed requests that run all the same
-    slow: float = 1.0  # times its usual work
-    slow_for: dict[str, float] = field(default_factory=dict)  # by source address, times the usual work
-    tail: float = 1.0  # times the usual work, for some requests ...
-    tail_share: float = 0.0  # ... by chance
-    cut: float = 0.0  # share of requests cut off: the connection closes, run or not
-    apply: float = 1.0  # times the usual work of applying
-    cap: int = 10_000  # connections accepted
-    understate: float = 1.0  # part of its load that it reports
-    handshake: float = 0.0  # seconds before a new connection is served
-    withhold: bool = False  # what it writes reaches no replica
-    delay: float = 0.0  # seconds that what it writes takes more to its replicas
+    """The faults of a member. They may be set at any time and hold from then on.
+
+    A factor multiplies the usual value; a share is a probability from 0 to 1.
+    """
+
+    hang: bool = False  # requests get no answer, except ROLE and INFO
+    hang_probes: bool = False  # ROLE and INFO get no answer either during a hang
+    hang_runs: float = 0.5  # share of the unanswered requests that are executed all the same
+    slow: float = 1.0  # factor on the work of each command
+    slow_for: dict[str, float] = field(default_factory=dict)  # factor on the work, by source address
+    tail: float = 1.0  # factor on the work of the commands drawn by `tail_share`
+    tail_share: float = 0.0  # share of the commands that `tail` slows down
+    cut: float = 0.0  # share of the commands whose connection is closed instead of an answer
+    apply: float = 1.0  # factor on the work of applying a replicated write
+    cap: int = 10_000  # connections accepted at the same time
+    understate: float = 1.0  # factor on the load that INFO reports
+    handshake: float = 0.0  # seconds before the first command of a new connection runs
+    withhold: bool = False  # the log is kept back from all replicas until `Node.ship`
+    delay: float = 0.0  # seconds added before the log is sent to replicas
 
 
 @dataclass(slots=True, eq=False)
-class Conn:
+class Connection:
+    """An accepted connection, of a client or of a replica."""
+
     id: int
-    source: str
+    source: str  # IP address of the other end
     reader: CommandReader
-    opened: float
-    queue: deque[list[bytes]] = field(default_factory=deque)
-    busy: bool = False
-    proto: int = 2
-    units: list[list[bytes]] | None = None
-    spoilt: bool = False
-    got: list[bytes] | None = None  # the arguments of a unit that is coming in
-    follower: bool = False  # a replica that gets the stream
-    acked: int = -1
-    port: int = 0
+    opened_at: float
+    queue: deque[list[bytes]] = field(default_factory=deque)  # commands that have not started
+    busy: bool = False  # its next command waits for a core or runs on one
+    protocol: int = 2  # RESP version
+    transaction: list[list[bytes]] | None = None  # commands queued since MULTI; None: outside a transaction
+    transaction_failed: bool = False  # a command was refused since MULTI, so EXEC will abort
+    incoming_transaction: list[bytes] | None = None  # arguments received since MULTI, to be recorded at EXEC
+    is_replica: bool = False  # gets the replication stream
+    acked_offset: int = -1  # last REPLCONF ACK; -1: none yet
+    listening_port: int = 0  # of the replica, from its REPLCONF listening-port
     name: str = ""
-    ready: float = 0.0
+    ready_at: float = 0.0  # when its first command may run
     closed: bool = False
-    due: float = 0.0  # of the log, when the last part goes out to this replica
-    stuck: bool = False  # a command on it was swallowed
-    held: bytearray = field(default_factory=bytearray)  # of the log, withheld from this replica
+    log_due_at: float = 0.0  # when the last delayed part of the log goes out to this replica
+    is_stuck: bool = False  # a command on it was left without an answer by a hang
+    withheld: bytearray = field(default_factory=bytearray)  # part of the log kept back from this replica
 
 
 @dataclass(frozen=True, slots=True)
 class Act:
-    """What the node wants done: `send`, `close` or `connect` (data: the address); or what a tap may record:
-    `command` (one, or a whole unit), `ran` (a write went through: `log` tells what replicas apply), `answer` (data;
-    `turned` if nothing ran), `says` (it told its role) and `line` (from now on its log is a line of its own, which
-    goes on from `parent` at `offset`; `received`: what it had been sent of that one). `line` and `offset`: where in
-    which log the node then stands."""
+    """What the member wants done, or what it did, for the record of a tap.
+
+    To be carried out by the owner, on connection `conn`:
+      send       send `data`
+      close      close the connection
+      connect    connect to the primary at the address in `data`
+
+    To be recorded only:
+      command    a command arrived (`args`), or a whole transaction, with the arguments of all its commands
+      ran        a write was executed; `log` holds the commands that replicas apply
+      answer     a command was answered with `data`; `turned`: it was refused and nothing was executed
+      says       the member told its role (`args`: primary or replica)
+      line       the log is now a history of its own, which continues the history `parent` from `offset` on; `received`:
+                 the offset up to which the member had been sent `parent`
+
+    `line` and `offset` hold the replication ID and the offset of the member's log at that moment. `source` is the
+    address of the other end.
+    """
 
     what: str
     conn: int
@@ -95,613 +130,698 @@
     received: int = 0
 
 
-UPSTREAM = 0  # number of a replica's connection to its primary
+class Node:
+    """The state of one emulated member: a primary, until `follow` makes it a replica.
 
+    `cores`: commands that run at the same time. `command_seconds`: work of one command. `apply_seconds`: work of
+    applying one replicated write or transaction. `numbered_keys`: keys carry numbers of requests (see `Store`). All
+    random draws come from `seed`.
 
-class Node:
-    """`work`: seconds that a command takes on one core; `apply`: seconds that applying one write takes."""
+    Times are seconds on the owner's clock.
+    """
 
     def __init__(
         self,
         name: str,
         seed: int,
         cores: int = 4,
-        work: float = 0.001,
-        apply: float = 0.0001,
-        numbered: bool = False,
+        command_seconds: float = 0.001,
+        apply_seconds: float = 0.0001,
+        numbered_keys: bool = False,
     ) -> None:
         self.name = name
         self.random = Random(seed)
         self.cores = cores
-        self.work, self.apply_work = work, apply
+        self.command_seconds = command_seconds
+        self.apply_seconds = apply_seconds
         self.faults = Faults()
-        self.store = Store(numbered)
-        self.replid = self._new_id()
-        self.replid2 = "0" * 40
-        self.second = -1
-        self.offset = 0
-        self.backlog = bytearray()  # the log up to `offset`
-        self.primary: str | None = None  # address followed; None: it is a primary
-        self.linked = False
-        self.readonly = False  # a primary that hands over takes no writes
-        self.conns: dict[int, Conn] = {}
-        self.running = 0
-        self.waiting: deque[Conn] = deque()
+        self.store = Store(numbered_keys)
+        self.replid = self._new_replication_id()
+        self.replid2 = NO_REPLICATION_ID  # the history that `replid` continues, as after a promotion
+        self.second_replid_offset = (
+            -1
+        )  # number of the first byte that is not part of `replid2`; -1: no `replid2`
+        self.offset = 0  # bytes of the log
+        self.backlog = bytearray()  # the end of the log, up to `offset`
+        self.primary: str | None = None  # address of the primary; None: this member is a primary
+        self.link_up = False  # a replica that gets the stream of its primary
+        self.readonly = False  # a primary that refuses writes during a hand-over
+        self.connections: dict[int, Connection] = {}
+        self.running = 0  # commands that occupy a core
+        self.waiting_for_core: deque[Connection] = deque()
         self.now = 0.0
-        self.timers: list[tuple[float, int, Callable[[], None]]] = []
-        self.numbers = 0
+        self.timers: list[tuple[float, int, Callable[[], None]]] = []  # heap: time, number, callback
+        self.timers_created = 0  # numbers the timers, so that those of one time run in order
         self.actions: list[Act] = []
-        self.upstream: Scanner | None = None
-        self.stage = ""  # of the replication handshake
-        self.coming = bytearray()  # what the primary sent before its stream
-        self.resync = ("", 0)  # history and offset of the copy on its way
+        self.stream_scanner: Scanner | None = None  # None: no connection to the primary
+        self.handshake_stage = ""  # ping, port, psync, copy, and then stream
+        self.handshake_buffer = bytearray()  # bytes of the primary that precede its stream
+        self.full_resync = ("", 0)  # replication ID and offset of the full copy under way
         self.inbox: deque[bytes] = (
             deque()
-        )  # of the stream, received and not applied: commands, or whole units
-        self.unit: list[bytes] = []  # a unit of the stream that is not whole yet
+        )  # commands and whole transactions of the stream that are not applied yet
+        self.partial_transaction: list[bytes] = []  # commands of the stream since a MULTI without its EXEC
         self.applying = False
         self.apply_held = 0  # long reads during which nothing is applied
-        self.cold_since: float | None = None
-        self.cold_share, self.cold_time = 1.0, 0.0
+        self.restarted_at: float | None = None  # None: it has been up from the beginning
+        self.cold_share = 1.0
+        self.warm_up_seconds = 0.0
         self.pushed: deque[tuple[float, float]] = deque()
-        self.epoch = 0  # of its life: what was begun before a kill does not go on
+        self.incarnation = 0  # counts kills; a timer of an earlier incarnation does nothing
 
     @property
     def data(self) -> dict[bytes, object]:
+        """The values by key, including those whose expiry has passed and that nothing has deleted yet."""
         return self.store.data
 
-    def _new_id(self) -> str:
+    def _new_replication_id(self) -> str:
         return f"{self.random.getrandbits(160):040x}"
 
-    # ---- events; each returns what is to be done
+    # ---- events; each returns the actions that follow from it
 
-    def opened(self, now: float, conn: int, source: str) -> list[Act]:
+    def connection_opened(self, now: float, number: int, source: str) -> list[Act]:
+        """Accept connection `number` from the address `source`, or close it if there are too many."""
         self._begin(now)
-        if len(self.conns) >= self.faults.cap:
+        if len(self.connections) >= self.faults.cap:
             self.actions += [
-                Act("send", conn, b"-ERR max number of clients reached\r\n"),
-                Act("close", conn, b"full"),
+                Act("send", number, b"-ERR max number of clients reached\r\n"),
+                Act("close", number, b"full"),
             ]
             return self.actions
-        self.conns[conn] = Conn(
-            conn, source, CommandReader(256 * 1024 * 1024), now, ready=now + self.faults.handshake
+        self.connections[number] = Connection(
+            number, source, CommandReader(MAX_REQUEST_BYTES), now, ready_at=now + self.faults.handshake
         )
         return self.actions
 
-    def received(self, now: float, conn: int, data: bytes) -> list[Act]:
+    def data_received(self, now: float, number: int, data: bytes) -> list[Act]:
+        """Handle bytes from connection `number`, or from the primary (`UPSTREAM_ID`).
+
+        A connection whose bytes are not RESP gets an error and is closed.
+        """
         self._begin(now)
-        if conn == UPSTREAM:
-            self._stream(data)
+        if number == UPSTREAM_ID:
+            self._upstream_received(data)
             return self.actions
-        state = self.conns.get(conn)
-        if state is None:
+        connection = self.connections.get(number)
+        if connection is None:
             return self.actions
-        state.reader.feed(data)
+        connection.reader.feed(data)
         try:
-            while (args := state.reader.next()) is not None:
-                state.queue.append(args)
-                self._got(state, args)
+            while (args := connection.reader.next()) is not None:
+                connection.queue.append(args)
+                self._record_command(connection, args)
         except ProtocolError as error:
-            self._send(state, encode(Error(f"ERR Protocol error: {error}")))
-            self._close(state)
+            self._send(connection, encode(Error(f"ERR Protocol error: {error}")))
+            self._close(connection)
             return self.actions
-        if state.ready > now:
-            self._at(state.ready, lambda: self._next(state))
+        if connection.ready_at > now:
+            self._schedule(connection.ready_at, lambda: self._run_queue(connection))
         else:
-            self._next(state)
+            self._run_queue(connection)
         return self.actions
 
-    def _got(self, conn: Conn, args: list[bytes]) -> None:
-        """For the tap: a command, or a unit once its EXEC is here."""
+    def _record_command(self, connection: Connection, args: list[bytes]) -> None:
+        """Record the arrival of a command; that of a transaction is recorded once its EXEC has arrived."""
         name = args[0].upper()
         if name == b"MULTI":
-            conn.got = []
+            connection.incoming_transaction = []
             return
-        if conn.got is not None:
+        if connection.incoming_transaction is not None:
             if name != b"EXEC":
-                conn.got += args
+                connection.incoming_transaction += args
                 return
-            args, conn.got = conn.got, None
-        self.actions.append(Act("command", conn.id, args=tuple(args), source=conn.source))
+            args, connection.incoming_transaction = connection.incoming_transaction, None
+        self.actions.append(Act("command", connection.id, args=tuple(args), source=connection.source))
 
-    def lost(self, now: float, conn: int) -> list[Act]:
-        """A connection is gone. What runs on it runs on."""
+    def connection_lost(self, now: float, number: int) -> list[Act]:
+        """The other end closed connection `number`. A command that occupies a core is still executed."""
         self._begin(now)
-        if conn == UPSTREAM:
+        if number == UPSTREAM_ID:
             self._upstream_lost()
-        elif (state := self.conns.pop(conn, None)) is not None:
-            state.closed = True
-            state.queue.clear()
+        elif (connection := self.connections.pop(number, None)) is not None:
+            connection.closed = True
+            connection.queue.clear()
         return self.actions
 
-    def upstream_up(self, now: float) -> list[Act]:
+    def upstream_connected(self, now: float) -> list[Act]:
+        """The connection to the primary is up: start the replication handshake."""
         self._begin(now)
-        self.upstream, self.stage = Scanner(1 << 30), "ping"
-        self.coming.clear()
-        self.actions.append(Act("send", UPSTREAM, command("PING")))
+        self.stream_scanner = Scanner(MAX_STREAM_COMMAND_BYTES)
+        self.handshake_stage = "ping"
+        self.handshake_buffer.clear()
+        self.actions.append(Act("send", UPSTREAM_ID, command("PING")))
         return self.actions
 
-    def wake_up(self, now: float) -> list[Act]:
+    def run_timers(self, now: float) -> list[Act]:
+        """Run all timers that are due."""
         self._begin(now)
         while self.timers and self.timers[0][0] <= now:
             heapq.heappop(self.timers)[2]()
         return self.actions
 
     @property
-    def wake(self) -> float:
+    def next_timer_at(self) -> float:
+        """When `run_timers` has to be called next; infinite if there is no timer."""
         return self.timers[0][0] if self.timers else float("inf")
 
-    # ---- orders of whoever runs it
+    # ---- orders of the owner
 
     def follow(self, now: float, address: str) -> list[Act]:
-        """Be a replica of `address`."""
+        """Become a replica of the primary at `address`."""
         self._begin(now)
         if self.primary != address:
             self.primary = address
-            self._reconnect()
+            self._connect_upstream()
         return self.actions
 
     def promote(self, now: float) -> list[Act]:
-        """Be the primary, with a new history that goes on from the old one."""
+        """Become a primary with a new history that continues the old one. A primary ignores the order."""
         self._begin(now)
         if self.primary is None:
             return self.actions
         received = self.offset + sum(map(len, self.inbox))
-        while self.inbox:  # what it was sent is part of the log that it takes over
+        while self.inbox:  # the received part of the log is kept, so it is applied first
             self._apply_one()
-        self.primary, self.linked, self.upstream = None, False, None
-        self.unit.clear()
-        self.actions.append(Act("close", UPSTREAM))
-        self.replid2, self.second = self.replid, self.offset + 1
-        self._branch(received)
-        self._part()
+        self.primary = None
+        self.link_up = False
+        self.stream_scanner = None
+        self.partial_transaction.clear()
+        self.actions.append(Act("close", UPSTREAM_ID))
+        self.replid2 = self.replid
+        self.second_replid_offset = self.offset + 1
+        self._start_history(received)
+        self._disconnect_replicas()
         return self.actions
 
-    def _part(self) -> None:
-        """The history is another one: who follows has to ask again, and learns of it."""
-        for conn in [conn for conn in self.conns.values() if conn.follower]:
-            self._close(conn)
+    def _disconnect_replicas(self) -> None:
+        """Close the connections of replicas after a change of the replication ID.
 
-    def _branch(self, received: int) -> None:
-        """From here on its log is a line of its own. `received`: how far it had been sent the old one."""
-        old, self.replid = self.replid, self._new_id()
+        They connect again, and the answer to their PSYNC tells them the new ID.
+        """
+        for connection in [connection for connection in self.connections.values() if connection.is_replica]:
+            self._close(connection)
+
+    def _start_history(self, received: int) -> None:
+        """Draw a new replication ID. `received`: the offset up to which the old history had been received."""
+        parent = self.replid
+        self.replid = self._new_replication_id()
         self.actions.append(
-            Act("line", UPSTREAM, line=self.replid, offset=self.offset, parent=old, received=received)
+            Act("line", UPSTREAM_ID, line=self.replid, offset=self.offset, parent=parent, received=received)
         )
 
     def killed(self, now: float) -> None:
-        """The process died: data and log stay on disk, connections and work do not."""
+        """The process died. Data and log stay on disk; connections, timers and unapplied stream are gone."""
         self._begin(now)
-        self.epoch += 1
-        self.conns.clear()
-        self.waiting.clear()
+        self.incarnation += 1
+        self.connections.clear()
+        self.waiting_for_core.clear()
         self.inbox.clear()
-        self.unit.clear()
+        self.partial_transaction.clear()
         self.timers.clear()
-        self.running, self.applying, self.linked, self.upstream = 0, False, False, None
+        self.running = 0
+        self.applying = False
+        self.link_up = False
+        self.stream_scanner = None
         self.apply_held = 0
 
-    def restarted(self, now: float, share: float, time: float, keeps: bool) -> list[Act]:
-        """Start again, cold: at `share` of its capacity, warm after `time` seconds. `keeps`: it still knows its
-        history; else it begins another one with the same data."""
+    def restarted(
+        self, now: float, cold_share: float, warm_up_seconds: float, keeps_history: bool
+    ) -> list[Act]:
+        """Start again after `killed`, at `cold_share` of the full capacity, which rises to 1 over `warm_up_seconds`.
+
+        `keeps_history`: the member still knows its replication ID; else it starts a new history with the same data.
+        """
         self._begin(now)
-        self.cold_since, self.cold_share, self.cold_time = now, share, time
-        if not keeps:
-            self.replid2, self.second = "0" * 40, -1
-            self._branch(self.offset)
+        self.restarted_at = now
+        self.cold_share = cold_share
+        self.warm_up_seconds = warm_up_seconds
+        if not keeps_history:
+            self.replid2 = NO_REPLICATION_ID
+            self.second_replid_offset = -1
+            self._start_history(self.offset)
             self.backlog.clear()
         if self.primary is not None:
-            self._reconnect()
+            self._connect_upstream()
         return self.actions
 
     # ---- commands
 
     def _begin(self, now: float) -> None:
-        self.now, self.actions = now, []
-
-    def _at(self, when: float, callback: Callable[[], None]) -> None:
-        self.numbers += 1
-        epoch = self.epoch
-        heapq.heappush(self.timers, (when, self.numbers, lambda: callback() if self.epoch == epoch else None))
+        """Set the time and an empty list of actions for the call that begins."""
+        self.now = now
+        self.actions = []
+
+    def _schedule(self, when: float, callback: Callable[[], None]) -> None:
+        """Call `callback` at `when`, unless the member is killed before."""
+        self.timers_created += 1
+        incarnation = self.incarnation
+        heapq.heappush(
+            self.timers,
+            (when, self.timers_created, lambda: callback() if self.incarnation == incarnation else None),
+        )
 
-    def _send(self, conn: Conn, data: bytes) -> None:
-        if not conn.closed:
-            self.actions.append(Act("send", conn.id, data))
+    def _send(self, connection: Connection, data: bytes) -> None:
+        if not connection.closed:
+            self.actions.append(Act("send", connection.id, data))
 
-    def _close(self, conn: Conn) -> None:
-        conn.closed = True
-        conn.queue.clear()
-        self.conns.pop(conn.id, None)
-        self.actions.append(Act("close", conn.id))
+    def _close(self, connection: Connection) -> None:
+        connection.closed = True
+        connection.queue.clear()
+        self.connections.pop(connection.id, None)
+        self.actions.append(Act("close", connection.id))
 
     def capacity(self) -> float:
-        """The part of its full speed that it has now."""
-        if self.cold_since is None or self.cold_time <= 0:
+        """The share of its full speed at which the member runs now; below 1 while it warms up after a restart."""
+        if self.restarted_at is None or self.warm_up_seconds <= 0:
             return 1.0
-        age = self.now - self.cold_since
-        return min(1.0, self.cold_share + (1 - self.cold_share) * age / self.cold_time)
-
-    def _next(self, conn: Conn) -> None:
-        """Run what is at the front of a connection."""
-        while conn.queue and not conn.busy and not conn.closed:
-            if conn.stuck and not self.faults.hang:
-                conn.queue.clear()
+        uptime = self.now - self.restarted_at
+        return min(1.0, self.cold_share + (1 - self.cold_share) * uptime / self.warm_up_seconds)
+
+    def _run_queue(self, connection: Connection) -> None:
+        """Start the commands at the front of a connection's queue, up to one that needs a core."""
+        while connection.queue and not connection.busy and not connection.closed:
+            if connection.is_stuck and not self.faults.hang:
+                connection.queue.clear()
                 return
-            if conn.ready > self.now:
+            if connection.ready_at > self.now:
                 return
-            name = conn.queue[0][0].upper()
-            asks = name in (b"ROLE", b"INFO")
-            if self.faults.hang and (conn.stuck or not asks or self.faults.hang_probes):
-                conn.stuck = True  # answers keep their order: what comes behind is not answered either
-                self._swallow(conn, conn.queue.popleft())
+            name = connection.queue[0][0].upper()
+            asks_role = name in (b"ROLE", b"INFO")
+            if self.faults.hang and (connection.is_stuck or not asks_role or self.faults.hang_probes):
+                # Answers keep the order of their commands, so nothing behind this one is answered either.
+                connection.is_stuck = True
+                self._handle_without_answer(connection, connection.queue.popleft())
                 continue
             known = lookup(name)
-            works = known is not None and known.kind in (Kind.READ, Kind.WRITE)
-            if conn.units is not None and works:
+            needs_core = known is not None and known.kind in (Kind.READ, Kind.WRITE)
+            if connection.transaction is not None and needs_core:
                 assert known is not None
-                conn.units.append(conn.queue.popleft())
+                connection.transaction.append(connection.queue.popleft())
                 refused = known.kind is Kind.WRITE and (self.primary is not None or self.readonly)
-                conn.spoilt = conn.spoilt or refused
-                self._send(conn, encode(READONLY if refused else Simple("QUEUED")))
+                connection.transaction_failed = connection.transaction_failed or refused
+                self._send(connection, encode(READONLY if refused else Simple("QUEUED")))
                 continue
-            if not works and not (name == b"EXEC" and conn.units is not None):
-                self._send(conn, self._special(conn, name, conn.queue.popleft()))
+            if not needs_core and not (name == b"EXEC" and connection.transaction is not None):
+                self._send(
+                    connection, self._run_control_command(connection, name, connection.queue.popleft())
+                )
                 continue
-            conn.busy = True
-            self.waiting.append(conn)
-        self._start()
+            connection.busy = True
+            self.waiting_for_core.append(connection)
+        self._occupy_cores()
 
-    def _swallow(self, conn: Conn, args: list[bytes]) -> None:
-        """Of a hung node: no answer; what was asked runs or doesn't."""
+    def _handle_without_answer(self, connection: Connection, args: list[bytes]) -> None:
+        """Take a command during a hang: execute it or not, at random, and send no answer."""
         name = args[0].upper()
         if name == b"MULTI":
-            conn.units = []
-        elif conn.units is not None and name != b"EXEC":
-            conn.units.append(args)
+            connection.transaction = []
+        elif connection.transaction is not None and name != b"EXEC":
+            connection.transaction.append(args)
         elif (
             (known := lookup(name)) is not None
-            and (known.kind in (Kind.READ, Kind.WRITE) or conn.units is not None)
+            and (known.kind in (Kind.READ, Kind.WRITE) or connection.transaction is not None)
             and self.random.random() < self.faults.hang_runs
         ):
-            self._run(conn, args)
-
-    def _start(self) -> None:
-        while self.waiting and self.running < self.cores:
-            conn = self.waiting.popleft()
-            if conn.closed or not conn.queue:
-                conn.busy = False
+            self._execute(connection, args)
+
+    def _occupy_cores(self) -> None:
+        """Start waiting commands on the free cores."""
+        while self.waiting_for_core and self.running < self.cores:
+            connection = self.waiting_for_core.popleft()
+            if connection.closed or not connection.queue:
+                connection.busy = False
                 continue
-            args = conn.queue.popleft()
+            args = connection.queue.popleft()
             self.running += 1
-            factor = self.faults.slow * self.faults.slow_for.get(conn.source, 1.0) / self.capacity()
+            factor = self.faults.slow * self.faults.slow_for.get(connection.source, 1.0) / self.capacity()
             if self.faults.tail_share and self.random.random() < self.faults.tail_share:
                 factor *= self.faults.tail
-            work = self.work * factor * self.random.uniform(0.7, 1.3)
-            self._at(self.now + work, lambda conn=conn, args=args: self._finished(conn, args))  # type: ignore[misc]
+            seconds = self.command_seconds * factor * self.random.uniform(MIN_WORK_FACTOR, MAX_WORK_FACTOR)
+            self._schedule(
+                self.now + seconds,
+                lambda connection=connection, args=args: self._work_finished(connection, args),  # type: ignore[misc]
+            )
 
-    def _finished(self, conn: Conn, args: list[bytes]) -> None:
+    def _work_finished(self, connection: Connection, args: list[bytes]) -> None:
+        """The work of a command is done: free its core, execute and answer it as far as the faults allow."""
         self.running -= 1
-        conn.busy = False
+        connection.busy = False
         if self.faults.hang:
-            conn.stuck = True
+            connection.is_stuck = True
             if self.random.random() < self.faults.hang_runs:
-                self._run(conn, args)
+                self._execute(connection, args)
         elif self.faults.cut and self.random.random() < self.faults.cut:
-            if self.random.random() < 0.5:
-                self._run(conn, args)
-            if not conn.closed:
-                self._close(conn)
+            if self.random.random() < CUT_EXECUTE_PROBABILITY:
+                self._execute(connection, args)
+            if not connection.closed:
+                self._close(connection)
         else:
-            answer, told = self._run(conn, args)
-            self._send(conn, answer)
-            if not conn.closed:
-                self.actions.append(dataclasses.replace(told, what="answer", data=answer))
-        self._start()
-        self._next(conn)
-
-    def _run(self, conn: Conn, args: list[bytes]) -> tuple[bytes, Act]:
-        """Execute one command, or a unit on EXEC; returns its answer and what a tap may record of it."""
-        units, spoilt = [args], False
+            answer, record = self._execute(connection, args)
+            self._send(connection, answer)
+            if not connection.closed:
+                self.actions.append(dataclasses.replace(record, what="answer", data=answer))
+        self._occupy_cores()
+        self._run_queue(connection)
+
+    def _execute(self, connection: Connection, args: list[bytes]) -> tuple[bytes, Act]:
+        """Execute one command, or at EXEC a transaction. Returns the encoded answer, and the action that records it."""
+        commands = [args]
+        failed_before = False
         if args[0].upper() == b"EXEC":
-            units, spoilt, conn.units, conn.spoilt = conn.units or [], conn.spoilt, None, False
-        flat = tuple(word for unit in units for word in unit)
+            commands = connection.transaction or []
+            failed_before = connection.transaction_failed
+            connection.transaction = None
+            connection.transaction_failed = False
+        all_args = tuple(word for each in commands for word in each)
         writes = any(
-            known is not None and known.kind is Kind.WRITE for known in (lookup(unit[0]) for unit in units)
+            known is not None and known.kind is Kind.WRITE for known in (lookup(each[0]) for each in commands)
         )
         refused = writes and (self.primary is not None or self.readonly)
         answer, log = b"", list[list[bytes]]()
-        if args[0].upper() == b"EXEC" and (spoilt or refused):
+        if args[0].upper() == b"EXEC" and (failed_before or refused):
             answer = encode(
                 Error(
                     "EXECABORT Transaction discarded because of previous errors."
-                    if spoilt
+                    if failed_before
                     else "EXECABORT Transaction contains write commands but instance is now a read-only "
                     "replica. EXEC aborted."
                 )
             )
             refused = True
         elif refused:
-            script = args[0].upper() in SCRIPTS  # the error comes out of its middle, and says so
-            answer = encode(Error(f"{READONLY} script: stand-in, on @user_script:1.") if script else READONLY)
+            # The error of a write inside a script names the script, as Redis does it.
+            is_script = args[0].upper() in SCRIPT_COMMANDS
+            answer = encode(
+                Error(f"{READONLY} script: stand-in, on @user_script:1.") if is_script else READONLY
+            )
         else:
-            answers = [encode(self.store.perform(unit, self.now, log), conn.proto) for unit in units]
+            answers = [
+                encode(self.store.execute(each, self.now, log), connection.protocol) for each in commands
+            ]
             answer = (
                 answers[0] if args[0].upper() != b"EXEC" else b"*%d\r\n" % len(answers) + b"".join(answers)
             )
             if log:
-                raw = b"".join(command(*effect) for effect in log)
-                self._log(raw if len(log) == 1 else MULTI + raw + EXEC)
-        ran = Act(
+                raw = b"".join(command(*logged) for logged in log)
+                self._append_to_log(raw if len(log) == 1 else MULTI + raw + EXEC)
+        record = Act(
             "ran",
-            conn.id,
-            args=flat,
-            source=conn.source,
+            connection.id,
+            args=all_args,
+            source=connection.source,
             line=self.replid,
             offset=self.offset,
-            log=tuple(tuple(effect) for effect in log),
+            log=tuple(tuple(logged) for logged in log),
             turned=refused,
         )
         if writes and not refused:
-            self.actions.append(ran)
-        return answer, ran
+            self.actions.append(record)
+        return answer, record
 
-    def _special(self, conn: Conn, name: bytes, args: list[bytes]) -> bytes:
-        proto = conn.proto
+    def _run_control_command(self, connection: Connection, name: bytes, args: list[bytes]) -> bytes:
+        """Run a command that occupies no core: of the connection, of a transaction, or of replication.
+
+        Returns the encoded answer; it is empty for REPLCONF ACK, which has none.
+        """
+        protocol = connection.protocol
         match name:
             case b"ROLE" | b"INFO":
                 self.actions.append(
                     Act(
                         "says",
-                        conn.id,
+                        connection.id,
                         args=(b"replica" if self.primary else b"primary",),
-                        source=conn.source,
+                        source=connection.source,
                         line=self.replid,
                         offset=self.offset,
                     )
                 )
-                return encode(self._role() if name == b"ROLE" else self._info(), proto)
+                return encode(self._role_answer() if name == b"ROLE" else self._info_text(), protocol)
             case b"PING":
-                return encode(args[1] if len(args) > 1 else Simple("PONG"), proto)
+                return encode(args[1] if len(args) > 1 else Simple("PONG"), protocol)
             case b"HELLO":
-                conn.proto = int(args[1]) if len(args) > 1 else 2
-                return encode({"server": "stand-in", "proto": conn.proto, "role": "master"}, conn.proto)
+                connection.protocol = int(args[1]) if len(args) > 1 else 2
+                return encode(
+                    {"server": "stand-in", "proto": connection.protocol, "role": "master"},
+                    connection.protocol,
+                )
             case b"AUTH" | b"SELECT" | b"CLIENT":
-                return encode(OK, proto)
+                return encode(OK, protocol)
             case b"MULTI":
-                conn.units, conn.spoilt = [], False
-                return encode(OK, proto)
+                connection.transaction = []
+                connection.transaction_failed = False
+                return encode(OK, protocol)
             case b"DISCARD":
-                conn.units = None
-                return encode(OK, proto)
+                connection.transaction = None
+                return encode(OK, protocol)
             case b"EXEC":
-                return encode(Error("ERR EXEC without MULTI"), proto)
+                return encode(Error("ERR EXEC without MULTI"), protocol)
             case b"REPLCONF":
                 if args[1].upper() == b"ACK":
-                    conn.acked = int(args[2])
+                    connection.acked_offset = int(args[2])
                     return b""
                 if args[1].upper() == b"LISTENING-PORT":
-                    conn.port = int(args[2])
-                return encode(OK, proto)
+                    connection.listening_port = int(args[2])
+                return encode(OK, protocol)
             case b"PSYNC":
-                return self._psync(conn, args)
-        return encode(Error(f"ERR unknown command '{args[0].decode('latin-1')}'"), proto)
+                return self._answer_psync(connection, args)
+        return encode(Error(f"ERR unknown command '{args[0].decode('latin-1')}'"), protocol)
 
-    def _role(self) -> list[object]:
+    def _role_answer(self) -> list[object]:
+        """The answer to ROLE, in the form that Redis documents."""
         if self.primary is None:
             return [
                 "master",
                 self.offset,
                 [
-                    ["127.0.0.1", str(conn.port), str(max(0, conn.acked))]
-                    for conn in self.conns.values()
-                    if conn.follower
+                    ["127.0.0.1", str(connection.listening_port), str(max(0, connection.acked_offset))]
+                    for connection in self.connections.values()
+                    if connection.is_replica
                 ],
             ]
         host, _, port = self.primary.rpartition(":")
-        state = "connected" if self.linked else "connect" if self.upstream is None else "sync"
-        return ["slave", host, int(port), state, self.offset if self.linked or self.offset else -1]
+        state = "connected" if self.link_up else "connect" if self.stream_scanner is None else "sync"
+        return ["slave", host, int(port), state, self.offset if self.link_up or self.offset else -1]
 
-    def _info(self) -> str:
-        held = sum(len(conn.queue) + conn.busy for conn in self.conns.values())
+    def _info_text(self) -> str:
+        """The answer to INFO: the fields of Redis's section Replication, and the commands that wait or run."""
+        in_flight = sum(len(connection.queue) + connection.busy for connection in self.connections.values())
         lines = ["# Replication", f"role:{'master' if self.primary is None else 'slave'}"]
         if self.primary is not None:
             host, _, port = self.primary.rpartition(":")
             lines += [
                 f"master_host:{host}",
                 f"master_port:{port}",
-                f"master_link_status:{'up' if self.linked else 'down'}",
+                f"master_link_status:{'up' if self.link_up else 'down'}",
                 f"slave_repl_offset:{self.offset}",
             ]
         lines += [
-            f"connected_slaves:{sum(conn.follower for conn in self.conns.values())}",
+            f"connected_slaves:{sum(connection.is_replica for connection in self.connections.values())}",
             f"master_replid:{self.replid}",
             f"master_replid2:{self.replid2}",
             f"master_repl_offset:{self.offset}",
-            f"second_repl_offset:{self.second}",
-            f"commands_in_flight:{int(held * self.faults.understate)}",
+            f"second_repl_offset:{self.second_replid_offset}",
+            f"commands_in_flight:{int(in_flight * self.faults.understate)}",
         ]
         return "\r\n".join(lines) + "\r\n"
 
     # ---- replication
 
-    def _log(self, raw: bytes) -> None:
-        """What was written goes into the log and to whoever follows."""
+    def _append_to_log(self, raw: bytes) -> None:
+        """Append encoded commands to the log and send them to the replicas."""
         self.offset += len(raw)
         self.backlog += raw
-        if len(self.backlog) > 2 * BACKLOG:
-            del self.backlog[:-BACKLOG]
-        for conn in self.conns.values():
-            if conn.follower and self.faults.withhold:
-                conn.held += raw
-            elif conn.follower:
-                self._ship(conn, raw)
-
-    def _ship(self, conn: Conn, raw: bytes) -> None:
-        """The log goes out in order, whatever delays it."""
-        conn.due = max(conn.due, self.now + self.faults.delay)
-        if conn.due > self.now:
-            self._at(conn.due, lambda: self._send(conn, raw))
+        if len(self.backlog) > 2 * BACKLOG_BYTES:
+            del self.backlog[:-BACKLOG_BYTES]
+        for connection in self.connections.values():
+            if connection.is_replica and self.faults.withhold:
+                connection.withheld += raw
+            elif connection.is_replica:
+                self._send_log(connection, raw)
+
+    def _send_log(self, connection: Connection, raw: bytes) -> None:
+        """Send a part of the log to a replica, after `Faults.delay` and after all parts that were delayed before."""
+        connection.log_due_at = max(connection.log_due_at, self.now + self.faults.delay)
+        if connection.log_due_at > self.now:
+            self._schedule(connection.log_due_at, lambda: self._send(connection, raw))
         else:
-            self._send(conn, raw)
+            self._send(connection, raw)
 
     def ship(self, now: float) -> list[Act]:
-        """Replicas get what was withheld from them."""
+        """End `Faults.withhold`: send the replicas the part of the log that was kept back from them."""
         self._begin(now)
         self.faults.withhold = False
-        for conn in self.conns.values():
-            if conn.held:
-                self._ship(conn, bytes(conn.held))
-                conn.held.clear()
+        for connection in self.connections.values():
+            if connection.withheld:
+                self._send_log(connection, bytes(connection.withheld))
+                connection.withheld.clear()
         return self.actions
 
-    def _psync(self, conn: Conn, args: list[bytes]) -> bytes:
-        replid, asked = args[1].decode("latin-1"), int(args[2])  # the first byte it lacks
-        lacks = self.offset + 1 - asked
-        shared = replid == self.replid or (replid == self.replid2 and asked <= self.second)
-        conn.follower = True
-        if shared and 0 <= lacks <= len(self.backlog):
-            part = bytes(self.backlog[len(self.backlog) - lacks :]) if lacks else b""
+    def _answer_psync(self, connection: Connection, args: list[bytes]) -> bytes:
+        """Make a connection one of a replica. Returns the answer to its PSYNC, with the missing log or a full copy."""
+        replid = args[1].decode("latin-1")
+        first_missing = int(args[2])  # offset of the first byte that the replica lacks
+        missing = self.offset + 1 - first_missing
+        has_history = replid == self.replid or (
+            replid == self.replid2 and first_missing <= self.second_replid_offset
+        )
+        connection.is_replica = True
+        if has_history and 0 <= missing <= len(self.backlog):
+            part = bytes(self.backlog[len(self.backlog) - missing :]) if missing else b""
             return b"+CONTINUE %b\r\n" % self.replid.encode() + part
         copy = self.store.dump()
         return b"+FULLRESYNC %b %d\r\n$%d\r\n%b" % (self.replid.encode(), self.offset, len(copy), copy)
 
-    def _reconnect(self) -> None:
-        self.linked, self.upstream = False, None
+    def _connect_upstream(self) -> None:
+        """Close the connection to the primary, if there is one, and open a new one."""
+        self.link_up = False
+        self.stream_scanner = None
         self.inbox.clear()
-        self.unit.clear()
-        self.actions.append(Act("close", UPSTREAM))
+        self.partial_transaction.clear()
+        self.actions.append(Act("close", UPSTREAM_ID))
         if self.primary is not None:
-            self.actions.append(Act("connect", UPSTREAM, self.primary.encode()))
+            self.actions.append(Act("connect", UPSTREAM_ID, self.primary.encode()))
 
     def _upstream_lost(self) -> None:
-        self.linked, self.upstream = False, None
-        self.inbox.clear()  # what was not applied is asked for again
-        self.unit.clear()
+        """The connection to the primary broke: connect again after a delay."""
+        self.link_up = False
+        self.stream_scanner = None
+        self.inbox.clear()  # the next PSYNC asks again for what was received and not applied
+        self.partial_transaction.clear()
         if self.primary is not None:
             address = self.primary
-            self._at(self.now + 0.1, lambda: self._retry(address))
+            self._schedule(self.now + RECONNECT_DELAY_SECONDS, lambda: self._retry_upstream(address))
 
-    def _retry(self, address: str) -> None:
-        if self.primary == address and self.upstream is None:
-            self.actions.append(Act("connect", UPSTREAM, address.encode()))
+    def _retry_upstream(self, address: str) -> None:
+        if self.primary == address and self.stream_scanner is None:
+            self.actions.append(Act("connect", UPSTREAM_ID, address.encode()))
 
-    def _stream(self, data: bytes) -> None:
-        """What the primary sends: lines of the handshake, then a copy or nothing, then the stream."""
-        if self.upstream is None:
+    def _upstream_received(self, data: bytes) -> None:
+        """Handle bytes of the primary: the lines of the handshake, a full copy if there is one, then the stream."""
+        if self.stream_scanner is None:
             return
-        if self.stage == "stream":
-            for frame in self.upstream.feed(data):
-                self._frame(frame)
+        if self.handshake_stage == "stream":
+            for frame in self.stream_scanner.feed(data):
+                self._queue_stream_command(frame)
             self._apply_next()
             return
-        self.coming += data
-        while self.stage not in ("copy", "stream"):
-            end = self.coming.find(b"\r\n")
+        self.handshake_buffer += data
+        while self.handshake_stage not in ("copy", "stream"):
+            end = self.handshake_buffer.find(b"\r\n")
             if end < 0:
                 return
-            line = bytes(self.coming[:end])
-            del self.coming[: end + 2]
-            if not self._handshake(line):
+            line = bytes(self.handshake_buffer[:end])
+            del self.handshake_buffer[: end + 2]
+            if not self._continue_handshake(line):
                 return
-        if self.stage == "copy" and not self._copy():
+        if self.handshake_stage == "copy" and not self._load_full_copy():
             return
-        rest = bytes(self.coming)
-        self.coming.clear()
+        rest = bytes(self.handshake_buffer)
+        self.handshake_buffer.clear()
         if rest:
-            self._stream(rest)
+            self._upstream_received(rest)
 
-    def _frame(self, frame: bytes) -> None:
-        """One command of the stream; a unit is applied and counted as one."""
-        if self.unit or frame == MULTI:
-            self.unit.append(frame)
+    def _queue_stream_command(self, frame: bytes) -> None:
+        """Queue one encoded command of the stream; a transaction is queued as one, once its EXEC has arrived."""
+        if self.partial_transaction or frame == MULTI:
+            self.partial_transaction.append(frame)
             if frame != EXEC:
                 return
-            frame = b"".join(self.unit)
-            self.unit.clear()
+            frame = b"".join(self.partial_transaction)
+            self.partial_transaction.clear()
         self.inbox.append(frame)
 
-    def _handshake(self, line: bytes) -> bool:
-        """One answer of the primary; false if it did not go on."""
-        if self.stage == "ping":
-            self.stage = "port"
-            self.actions.append(Act("send", UPSTREAM, command("REPLCONF", "listening-port", "0")))
-        elif self.stage == "port":
-            self.stage = "psync"
-            self.actions.append(Act("send", UPSTREAM, command("PSYNC", self.replid, self.offset + 1)))
+    def _continue_handshake(self, line: bytes) -> bool:
+        """Handle one answer of the primary and send the next command. Returns false if the handshake failed."""
+        if self.handshake_stage == "ping":
+            self.handshake_stage = "port"
+            self.actions.append(Act("send", UPSTREAM_ID, command("REPLCONF", "listening-port", "0")))
+        elif self.handshake_stage == "port":
+            self.handshake_stage = "psync"
+            self.actions.append(Act("send", UPSTREAM_ID, command("PSYNC", self.replid, self.offset + 1)))
         else:
             words = line[1:].split()
             if words[:1] == [b"CONTINUE"]:
                 if len(words) > 1 and words[1].decode() != self.replid:
-                    self.replid2, self.second = self.replid, self.offset + 1
+                    self.replid2 = self.replid
+                    self.second_replid_offset = self.offset + 1
                     self.replid = words[1].decode()
-                    self._part()
-                self._following()
+                    self._disconnect_replicas()
+                self._start_streaming()
             elif words[:1] == [b"FULLRESYNC"]:
-                self.stage, self.resync = "copy", (words[1].decode(), int(words[2]))
+                self.handshake_stage = "copy"
+                self.full_resync = (words[1].decode(), int(words[2]))
             else:
-                self._reconnect()
+                self._connect_upstream()
                 return False
         return True
 
-    def _copy(self) -> bool:
-        """A whole copy, as a bulk without its end; false until it is here."""
-        end = self.coming.find(b"\r\n")
+    def _load_full_copy(self) -> bool:
+        """Load the full copy: a RESP bulk string without the final CRLF. Returns false while it is incomplete."""
+        end = self.handshake_buffer.find(b"\r\n")
         if end < 0:
             return False
-        size = int(self.coming[1:end])
-        if len(self.coming) < end + 2 + size:
+        size = int(self.handshake_buffer[1:end])
+        if len(self.handshake_buffer) < end + 2 + size:
             return False
-        self.store.load(bytes(self.coming[end + 2 : end + 2 + size]))
-        del self.coming[: end + 2 + size]
-        self.replid, self.offset = self.resync
-        self.replid2, self.second = "0" * 40, -1
+        self.store.load(bytes(self.handshake_buffer[end + 2 : end + 2 + size]))
+        del self.handshake_buffer[: end + 2 + size]
+        self.replid, self.offset = self.full_resync
+        self.replid2 = NO_REPLICATION_ID
+        self.second_replid_offset = -1
         self.backlog.clear()
-        self._part()
-        self._following()
+        self._disconnect_replicas()
+        self._start_streaming()
         return True
 
-    def _following(self) -> None:
-        self.stage, self.linked = "stream", True
-        self._ack()
+    def _start_streaming(self) -> None:
+        """The handshake is over: what follows from the primary is the stream."""
+        self.handshake_stage = "stream"
+        self.link_up = True
+        self._send_ack()
 
-    def _ack(self) -> None:
-        if self.linked:
-            self.actions.append(Act("send", UPSTREAM, command("REPLCONF", "ACK", self.offset)))
-            self._at(self.now + ACK_EVERY, self._ack_if(self.upstream))
+    def _send_ack(self) -> None:
+        """Report the applied offset to the primary, now and at intervals while this connection lasts."""
+        if self.link_up:
+            self.actions.append(Act("send", UPSTREAM_ID, command("REPLCONF", "ACK", self.offset)))
+            self._schedule(self.now + ACK_INTERVAL_SECONDS, self._ack_callback(self.stream_scanner))
 
-    def _ack_if(self, upstream: Scanner | None) -> Callable[[], None]:
-        return lambda: self._ack() if self.upstream is upstream else None
+    def _ack_callback(self, scanner: Scanner | None) -> Callable[[], None]:
+        """A timer callback that does nothing once the connection that `scanner` belongs to is gone."""
+        return lambda: self._send_ack() if self.stream_scanner is scanner else None
 
     def _apply_next(self) -> None:
-        """One thread applies the log, one write after the other."""
+        """Apply the queued stream, one command or transaction after the other."""
         while self.inbox and not self.applying and not self.apply_held and not self.faults.hang:
-            work = self.apply_work * self.faults.apply
-            if work > 0:
+            seconds = self.apply_seconds * self.faults.apply
+            if seconds > 0:
                 self.applying = True
-                self._at(self.now + work, self._applied)
+                self._schedule(self.now + seconds, self._apply_finished)
                 return
             self._apply_one()
 
-    def _applied(self) -> None:
+    def _apply_finished(self) -> None:
+        """The work of applying is done: change the data, and go on with the next command of the stream."""
         self.applying = False
         if self.inbox:
             self._apply_one()
         self._apply_next()
 
     def _apply_one(self) -> None:
+        """Apply the oldest queued command or transaction of the stream and append it to the own log."""
         raw = self.inbox.popleft()
-        reader = CommandReader(1 << 30)
+        reader = CommandReader(MAX_STREAM_COMMAND_BYTES)
         reader.feed(raw)
         while (args := reader.next()) is not None:
             if args[0].upper() not in (b"PING", b"MULTI", b"EXEC"):
                 self.store.apply(args, self.now)
-        self._log(raw)
+        self._append_to_log(raw)
 
     def thaw(self, now: float) -> list[Act]:
-        """A hang ends: what was swallowed stays swallowed and its connections stay silent, the rest goes on."""
+        """End a hang. Requests taken during it stay unanswered, and their connections silent; the others go on."""
         self._begin(now)
         self.faults.hang = False
         self._apply_next()
-        for conn in list(self.conns.values()):
-            self._next(conn)
+        for connection in list(self.connections.values()):
+            self._run_queue(connection)
         return self.actions
--- a/banklift/emulator/shell.py
+++ b/banklift/emulator/shell.py
@@ -1,100 +1,110 @@
-"""A stand-in member in its surroundings: carries out what the node wants."""
+"""The I/O of an emulated Redis-like member: its sockets and timers, on any `Env` (real sockets or virtual time).
+
+`Node` in node.py decides what to do; `NodeHost` passes events to it and carries out its actions.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from banklift.emulator.node import UPSTREAM, Act, Node
+from banklift.emulator.node import UPSTREAM_ID, Act, Node
 from banklift.net.env import Alarm, Env, Handle, Listener, Peer
 
-Tap = Callable[[float, str, Act], None]
+Tap = Callable[[float, str, Act], None]  # records what a member does: time, name of the member, action
 
 
 class NodeHost:
-    """One node at `address`. `tap` is told of every command, run, answer and closed connection at this end.
+    """Runs `node` as a server that listens at `address` (host:port; port 0: a free one).
+
+    `tap` is called for each command that arrives, each write, each answer, each told role, each new history of the log
+    and each closed connection.
 
-    Errors: `OSError` if the address can't be had.
+    Errors: `OSError` if it can't listen at the address.
     """
 
     def __init__(self, env: Env, node: Node, address: str, tap: Tap | None = None) -> None:
         self.env = env
         self.node = node
         self.tap = tap
-        self.handles: dict[int, Handle] = {}
-        self.upstream: Handle | None = None
-        self.numbers = UPSTREAM
-        self.alarm = Alarm(env, lambda: node.wake, lambda: self.do(node.wake_up(env.now())))
-        self.listener: Listener | None = env.listen(address, lambda: _ConnPeer(self))
+        self.handles: dict[int, Handle] = {}  # accepted connections by number
+        self.upstream: Handle | None = None  # of a replica: its connection to the primary
+        self.last_connection_id = UPSTREAM_ID
+        self.alarm = Alarm(env, lambda: node.next_timer_at, lambda: self.do(node.run_timers(env.now())))
+        self.listener: Listener | None = env.listen(address, lambda: _AcceptedPeer(self))  # None: killed
         self.address = self.listener.address
 
     def do(self, actions: list[Act]) -> None:
-        """Carry out what the node wants."""
+        """Carry out the actions that the node returned, and pass to the tap those that only record something."""
         now = self.env.now()
         for act in list(actions):
             if act.what == "send":
-                handle = self.upstream if act.conn == UPSTREAM else self.handles.get(act.conn)
+                handle = self.upstream if act.conn == UPSTREAM_ID else self.handles.get(act.conn)
                 if handle is not None and act.data:
                     handle.send(act.data)
             elif act.what == "close":
-                if act.conn == UPSTREAM:
-                    self._leave()
+                if act.conn == UPSTREAM_ID:
+                    self._close_upstream()
                 elif (handle := self.handles.pop(act.conn, None)) is not None:
                     handle.finish()
                     if self.tap is not None:
                         self.tap(now, self.node.name, act)
             elif act.what == "connect":
-                self._leave()
-                self.upstream = self.env.connect(act.data.decode(), _UpPeer(self))
+                self._close_upstream()
+                self.upstream = self.env.connect(act.data.decode(), _UpstreamPeer(self))
             elif self.tap is not None:
                 self.tap(now, self.node.name, act)
         self.alarm.look()
 
-    def _leave(self) -> None:
+    def _close_upstream(self) -> None:
         if self.upstream is not None:
             self.upstream.close()
             self.upstream = None
 
     def kill(self) -> None:
-        """As by SIGKILL: every connection breaks, and nobody listens."""
+        """Fail as a process does at SIGKILL: close every connection and stop listening."""
         self.node.killed(self.env.now())
         if self.listener is not None:
             self.listener.close()
             self.listener = None
-        self._leave()
+        self._close_upstream()
         for number, handle in list(self.handles.items()):
             handle.close()
             if self.tap is not None:
                 self.tap(self.env.now(), self.node.name, Act("close", number))
         self.handles.clear()
 
-    def restart(self, share: float, time: float, keeps: bool = False) -> None:
-        """Listen again at the same address, cold."""
+    def restart(self, cold_share: float, warm_up_seconds: float, keeps_history: bool = False) -> None:
+        """Listen again at the same address after `kill`; nothing if it runs. Arguments: see `Node.restarted`.
+
+        Errors: `OSError` if it can't listen at the address.
+        """
         if self.listener is None:
-            self.listener = self.env.listen(self.address, lambda: _ConnPeer(self))
-            self.do(self.node.restarted(self.env.now(), share, time, keeps))
+            self.listener = self.env.listen(self.address, lambda: _AcceptedPeer(self))
+            self.do(self.node.restarted(self.env.now(), cold_share, warm_up_seconds, keeps_history))
 
 
-class _ConnPeer(Peer):
-    """A connection that the node accepted."""
+class _AcceptedPeer(Peer):
+    """A connection that the node accepted, from a client or a replica."""
 
     __slots__ = ("host", "number")
 
     def __init__(self, host: NodeHost) -> None:
-        self.host, self.number = host, 0
+        self.host = host
+        self.number = 0  # of the connection; 0: not up yet
 
     def up(self, handle: Handle) -> None:
         host = self.host
         if host.listener is None:
             handle.close()
             return
-        host.numbers += 1
-        self.number = host.numbers
+        host.last_connection_id += 1
+        self.number = host.last_connection_id
         host.handles[self.number] = handle
-        host.do(host.node.opened(host.env.now(), self.number, handle.source))
+        host.do(host.node.connection_opened(host.env.now(), self.number, handle.source))
 
     def data(self, data: bytes) -> None:
         if self.number in self.host.handles:
-            self.host.do(self.host.node.received(self.host.env.now(), self.number, data))
+            self.host.do(self.host.node.data_received(self.host.env.now(), self.number, data))
 
     def eof(self) -> None:
         self.lost("closed")
@@ -105,10 +115,10 @@
             handle.close()
             if host.tap is not None:
                 host.tap(host.env.now(), host.node.name, Act("close", self.number, b"other end"))
-            host.do(host.node.lost(host.env.now(), self.number))
+            host.do(host.node.connection_lost(host.env.now(), self.number))
 
 
-class _UpPeer(Peer):
+class _UpstreamPeer(Peer):
     """The connection to the primary that a replica follows."""
 
     __slots__ = ("handle", "host")
@@ -120,11 +130,11 @@
     def up(self, handle: Handle) -> None:
         self.handle = handle
         if self.host.upstream is handle:
-            self.host.do(self.host.node.upstream_up(self.host.env.now()))
+            self.host.do(self.host.node.upstream_connected(self.host.env.now()))
 
     def data(self, data: bytes) -> None:
         if self.host.upstream is self.handle:
-            self.host.do(self.host.node.received(self.host.env.now(), UPSTREAM, data))
+            self.host.do(self.host.node.data_received(self.host.env.now(), UPSTREAM_ID, data))
 
     def eof(self) -> None:
         self.lost("closed")
@@ -132,5 +142,5 @@
     def lost(self, reason: str) -> None:
         host = self.host
         if self.handle is None or host.upstream is self.handle:
-            host._leave()
-            host.do(host.node.lost(host.env.now(), UPSTREAM))
+            host._close_upstream()
+            host.do(host.node.connection_lost(host.env.now(), UPSTREAM_ID))
--- a/banklift/emulator/stand.py
+++ b/banklift/emulator/stand.py
@@ -1,4 +1,8 @@
-"""A stand: the groups of a configuration as stand-in members, and routers in front of them."""
+"""A test stand: the members of a configuration as emulated servers, and routers in front of them.
+
+`Stand` runs the members. `RoutersHere` runs routers in this process, on the same `Env` as the members;
+`RouterProcesses` runs each router as a process of its own.
+"""
 
 from __future__ import annotations
 
@@ -24,14 +28,19 @@
 from banklift.proxy.machine import Machine
 from banklift.proxy.plan import Config, Group
 
-ROSTER_DELAY = 0.1  # seconds until routers in this process are told of a new roster
+ROSTER_DELAY_SECONDS = 0.1  # from a change of the roster until routers in this process get it
+STOP_TIMEOUT_SECONDS = 5  # from SIGTERM to SIGKILL, for each router process
+START_LOG_LENGTH = 2000  # characters of a router's log that the error of a failed start shows
 
 
 class Stand:
-    """The members of a configuration in these surroundings; replicas follow the primary that it marks.
+    """Runs the members of a configuration on `env`, each as an emulated server at its address in the configuration.
+
+    The replicas of a group follow the member that the configuration marks as primary. Random draws come from `seed`.
+    `tap` records what the members do (see `NodeHost`). `command_seconds`: work of one command; `apply_seconds`: work
+    of applying one replicated write. `numbered_keys`: keys carry numbers of requests (see `Store`).
 
-    `work` and `apply`: seconds that a command, and applying one write, take. `numbered`: keys carry the numbers of
-    requests (`Store`).
+    Errors: `OSError` if a member can't listen at its address.
     """
 
     def __init__(
@@ -40,20 +49,28 @@
         env: Env,
         seed: int = 1,
         tap: Tap | None = None,
-        work: float = 0.0005,
-        apply: float = 0.0001,
-        numbered: bool = False,
+        command_seconds: float = 0.0005,
+        apply_seconds: float = 0.0001,
+        numbered_keys: bool = False,
     ) -> None:
         self.config = config
         self.env = env
-        self.nodes: dict[str, NodeHost] = {}
-        self.states: dict[str, str] = {}
-        self.started: dict[str, float] = {}  # seconds on the clock of the surroundings
-        self.roles: dict[str, str] = {}  # the primary of each group
-        for place, group in enumerate(config.groups):
-            for spot, member in enumerate(group.members):
+        self.nodes: dict[str, NodeHost] = {}  # by name of the member
+        self.states: dict[
+            str, str
+        ] = {}  # by name of the member: ready, draining or gone, as in a roster file
+        self.started: dict[
+            str, float
+        ] = {}  # by name of the member: its last restart, seconds on the clock of `env`
+        self.roles: dict[str, str] = {}  # by name of the group: the name of its primary
+        for group_index, group in enumerate(config.groups):
+            for member_index, member in enumerate(group.members):
                 node = Node(
-                    member.name, seed * 1000 + place * 100 + spot, work=work, apply=apply, numbered=numbered
+                    member.name,
+                    seed * 1000 + group_index * 100 + member_index,
+                    command_seconds=command_seconds,
+                    apply_seconds=apply_seconds,
+                    numbered_keys=numbered_keys,
                 )
                 self.nodes[member.name] = NodeHost(env, node, member.address, tap)
                 self.states[member.name] = "ready"
@@ -65,15 +82,20 @@
 
     @staticmethod
     def first_primary(group: Group) -> str:
+        """The name of the member that is primary at the start: the marked one, or else the first."""
         return next((member.name for member in group.members if member.primary), group.members[0].name)
 
     def follow(self, name: str, primary: str) -> None:
+        """Make member `name` a replica of member `primary`."""
         host = self.nodes[name]
         host.do(host.node.follow(self.env.now(), self.nodes[primary].address))
 
-    def groups(self, epoch: float = 0.0) -> list[Group]:
-        """The groups as a roster tells them: roles as of the start. `epoch`: the clock at the Unix epoch."""
-        found = []
+    def groups(self, unix_epoch_at: float = 0.0) -> list[Group]:
+        """The groups as a roster lists them, without members that are gone and with the roles of the start.
+
+        `unix_epoch_at`: reading of the clock of `env` at the Unix epoch, in seconds.
+        """
+        groups = []
         for group in self.config.groups:
             members = [
                 {
@@ -81,15 +103,18 @@
                     "address": self.nodes[member.name].address,
                     "primary": member.name == self.first_primary(group),
                     "state": self.states[member.name],
-                    "started": None if member.name not in self.started else self.started[member.name] - epoch,
+                    "started": None
+                    if member.name not in self.started
+                    else self.started[member.name] - unix_epoch_at,
                 }
                 for member in group.members
                 if self.states[member.name] != "gone"
             ]
-            found.append(msgspec.convert({**msgspec.to_builtins(group), "members": members}, Group))
-        return found
+            groups.append(msgspec.convert({**msgspec.to_builtins(group), "members": members}, Group))
+        return groups
 
     def describe(self) -> list[dict[str, Any]]:
+        """Name, address, group and role of each member, as the command `stand` prints them."""
         return [
             {
                 "member": member.name,
@@ -103,29 +128,36 @@
 
 
 class Routers(Protocol):
-    """Routers in front of a stand."""
+    """Routers in front of a stand, numbered from 0."""
 
-    addresses: list[str]
+    addresses: list[str]  # host:port at which each router listens for clients
 
     def roster(self, stand: Stand) -> None:
-        """The roster changed."""
+        """Pass the roster of the stand to all routers, after a change of it."""
 
-    def kill(self, number: int) -> None: ...
+    def kill(self, number: int) -> None:
+        """End a router as SIGKILL does."""
 
     def restart(self, number: int) -> None:
-        """Start a killed one again at its address; nothing if it runs."""
+        """Start a killed router again at its address; nothing if it runs."""
 
     def stall(self, number: int, seconds: float) -> None:
-        """It does nothing for a while, and then goes on."""
+        """Stop a router for some seconds, as SIGSTOP and SIGCONT do."""
 
 
 def source(number: int) -> str:
-    """The address from which a router connects to members, by which the members' taps know it."""
+    """The IP address from which router `number` connects to members; their taps tell routers apart by it."""
     return f"127.0.1.{number + 1}"
 
 
 class RoutersHere:
-    """Routers in the surroundings of the stand. `make` builds the machine of one; tests plant faults there."""
+    """Routers in this process, on the `Env` of the stand.
+
+    `make` builds the state machine of a router from the configuration and a seed; a test may pass one with a fault.
+    `log` gets the number of the router, the event and its fields for each log entry.
+
+    Errors: `OSError` if a router can't listen.
+    """
 
     def __init__(
         self,
@@ -135,14 +167,18 @@
         make: Callable[[Config, int], Machine] = build.machine,
         log: Callable[[int, str, dict[str, object]], None] = lambda number, event, fields: None,
     ) -> None:
-        self.stand, self.make, self.log, self.seed = stand, make, log, seed
-        self.starts = 0
+        self.stand = stand
+        self.make = make
+        self.log = log
+        self.seed = seed
+        self.starts = 0  # of all routers; gives each start a seed of its own
         self.hosts: list[RouterHost] = []
         for number in range(count):
-            self.hosts.append(self._host(number, "127.0.0.1:0"))
+            self.hosts.append(self._start(number, "127.0.0.1:0"))
         self.addresses = [host.address for host in self.hosts]
 
-    def _host(self, number: int, address: str) -> RouterHost:
+    def _start(self, number: int, address: str) -> RouterHost:
+        """Start router `number` at `address` and pass it the roster."""
         self.starts += 1
         machine = self.make(self.stand.config, self.seed * 1000 + self.starts)
         host = RouterHost(
@@ -158,48 +194,61 @@
     def roster(self, stand: Stand) -> None:
         event = build.roster(stand.config, stand.groups(), 0.0)
         for host in self.hosts:
-            stand.env.at(stand.env.now() + ROSTER_DELAY, lambda host=host: host.tell(event))  # type: ignore[misc]
+            stand.env.at(stand.env.now() + ROSTER_DELAY_SECONDS, lambda host=host: host.tell(event))  # type: ignore[misc]
 
     def kill(self, number: int) -> None:
         self.hosts[number].kill()
 
     def restart(self, number: int) -> None:
         if self.hosts[number].dead:
-            self.hosts[number] = self._host(number, self.addresses[number])
+            self.hosts[number] = self._start(number, self.addresses[number])
 
     def stall(self, number: int, seconds: float) -> None:
         self.hosts[number].stall(seconds)
 
 
 class RouterProcesses:
-    """Routers as processes of their own. `folder` holds what they read; `epoch`: the clock at the Unix epoch."""
+    """Routers as processes of their own, for a stand on real sockets.
+
+    Their configuration, roster and log files lie in a new temporary folder. Restarts run in `tasks`. `unix_epoch_at`:
+    reading of the clock of the stand's `Env` at the Unix epoch, in seconds.
 
-    def __init__(self, stand: Stand, tasks: TaskGroup, epoch: float) -> None:
-        self.stand, self.tasks, self.epoch = stand, tasks, epoch
+    The caller starts each router with `start`, puts the address that it returns into `addresses`, and calls `stop` in
+    the end.
+    """
+
+    def __init__(self, stand: Stand, tasks: TaskGroup, unix_epoch_at: float) -> None:
+        self.stand = stand
+        self.tasks = tasks
+        self.unix_epoch_at = unix_epoch_at
         self.folder = Path(tempfile.mkdtemp(prefix="banklift-"))
         self.processes: dict[int, Process] = {}
         self.addresses: list[str] = []
         self.killed: dict[int, bool] = {}
-        self.stalled: dict[int, float] = {}  # until when, on the clock of the surroundings
+        self.stalled_until: dict[int, float] = {}  # seconds on the clock of the stand's `Env`
         self.roster(stand)
 
     def roster(self, stand: Stand) -> None:
-        """Replace the roster file in one step."""
+        """Replace the roster file, by a rename, so that no router reads half of it."""
         path = self.folder / "roster.json"
-        draft = path.with_suffix(".new")
-        draft.write_bytes(msgspec.json.encode(stand.groups(self.epoch)))
-        draft.replace(path)
+        temporary = path.with_suffix(".new")
+        temporary.write_bytes(msgspec.json.encode(stand.groups(self.unix_epoch_at)))
+        temporary.replace(path)
 
     async def start(self, number: int, address: str) -> str:
-        """Start one and wait until it listens; returns its address. Errors: `RuntimeError` with its log."""
+        """Start router `number` at `address` and wait until it listens. Returns its address.
+
+        Errors: `RuntimeError` with the end of its log if it ends before it listens.
+        """
         settings = msgspec.to_builtins(self.stand.config) | {
             "name": f"router-{number}",
             "listen": address,
             "source": source(number),
             "roster": "roster.json",
-            "groups": msgspec.to_builtins(self.stand.groups(self.epoch)),
+            "groups": msgspec.to_builtins(self.stand.groups(self.unix_epoch_at)),
         }
-        path, log = self.folder / f"router-{number}.json", self.folder / f"router-{number}.log"
+        path = self.folder / f"router-{number}.json"
+        log = self.folder / f"router-{number}.log"
         path.write_text(json.dumps(settings))
         with log.open("ab") as errors:
             process = await anyio.open_process(
@@ -214,7 +263,9 @@
             try:
                 line += await process.stdout.receive()
             except anyio.EndOfStream:
-                raise RuntimeError(f"router {number} did not start:\n{log.read_text()[-2000:]}") from None
+                raise RuntimeError(
+                    f"router {number} did not start:\n{log.read_text()[-START_LOG_LENGTH:]}"
+                ) from None
         return str(json.loads(line)["listening"])
 
     def kill(self, number: int) -> None:
@@ -227,29 +278,30 @@
             self.tasks.start_soon(self.start, number, self.addresses[number])
 
     def stall(self, number: int, seconds: float) -> None:
-        process, env = self.processes[number], self.stand.env
+        process = self.processes[number]
+        env = self.stand.env
         if self.killed.get(number):
             return
         os.kill(process.pid, signal.SIGSTOP)
-        until = self.stalled[number] = max(self.stalled.get(number, 0.0), env.now() + seconds)
+        until = self.stalled_until[number] = max(self.stalled_until.get(number, 0.0), env.now() + seconds)
 
-        def go_on() -> None:
+        def resume() -> None:
             if (
-                self.stalled[number] <= env.now()
+                self.stalled_until[number] <= env.now()
                 and process.returncode is None
                 and not self.killed.get(number)
             ):
                 os.kill(process.pid, signal.SIGCONT)
 
-        env.at(until, go_on)
+        env.at(until, resume)
 
     async def stop(self) -> None:
-        """Stop them, politely first."""
+        """Stop all routers: SIGTERM to each, then SIGKILL to those that have not ended in time."""
         for process in self.processes.values():
             if process.returncode is None:
                 process.terminate()
         for process in self.processes.values():
-            with anyio.move_on_after(5):
+            with anyio.move_on_after(STOP_TIMEOUT_SECONDS):
                 await process.wait()
             if process.returncode is None:
                 process.kill()
