--- a/banklift/emulator/platform.py
+++ b/banklift/emulator/platform.py
@@ -1,8 +1,8 @@
-"""Stand-ins for what a router meets on the platform: nodes that speak PostgreSQL's protocol, and the catalogue.
+"""Emulated servers of the platform: members that speak PostgreSQL's protocol, and the catalogue of members over HTTP.
 
-Written against `Env`, so they run on sockets and in virtual time. A node answers each query after `delay` seconds with
-the value that its store has, or with what a test put into `answers`; it counts what it holds, so that a router's own
-count can be checked against it.
+They run on any `Env`: real sockets or virtual time. A member answers each statement after `delay` seconds from its
+store, or with the next answer that a test put into `answers`. It counts the statements that it is working on, so that
+a test can compare the router's count with it.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from banklift.net.env import Env, Handle, Listener, Peer
 from banklift.pg import frames
 
-Answer = Callable[["PgNode", bytes], bytes | None]  # to a statement; None: silence
+Answer = Callable[["PgNode", bytes], bytes | None]  # makes the answer to a statement; None: no answer is sent
 
 
 def row(value: bytes, tag: bytes = b"SELECT 1", column: bytes = b"content") -> bytes:
-    """An answer with one value: description, row and CommandComplete."""
-    form = b"\0" * 6 + b"\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01"  # of no table, bytea, binary
-    description = frames.message(b"T", b"\0\x01" + column + b"\0" + form)
+    """The messages of an answer with one value: RowDescription, DataRow and CommandComplete with `tag`."""
+    column_type = b"\0" * 6 + b"\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01"  # of no table; bytea, in binary
+    description = frames.message(b"T", b"\0\x01" + column + b"\0" + column_type)
     return (
         description
         + frames.message(b"D", b"\0\x01" + len(value).to_bytes(4, "big") + value)
@@ -32,27 +32,32 @@
 
 @dataclass(eq=False)
 class PgNode:
-    """One node. `store` holds its values by key; a replica shares that of its primary."""
+    """An emulated PostgreSQL member that listens at `address` (host:port; port 0: a free one) once it is started.
+
+    `primary`: it accepts writes. `delay`: seconds from a statement to its answer. `store`: values by key; a primary and
+    its replicas share one store, so replication takes no time.
+    """
 
     env: Env
     address: str = "127.0.0.1:0"
     primary: bool = False
     delay: float = 0.0
     store: dict[bytes, bytes] = field(default_factory=dict)
-    answers: deque[Answer] = field(default_factory=deque)  # for the next statements, instead of the usual one
-    seen: list[bytes] = field(default_factory=list)  # statements, in the order in which they came
-    open: int = 0  # statements that are being worked on, on connections that are open
-    probes: int = 0
-    connections: set[_NodePeer] = field(default_factory=set)
+    answers: deque[Answer] = field(default_factory=deque)  # to the next statements, in place of `answer`
+    seen: list[bytes] = field(default_factory=list)  # all statements, in the order of arrival
+    open: int = 0  # statements without an answer, on connections that are open
+    probes: int = 0  # count of SHOW usage
+    connections: set[_PgPeer] = field(default_factory=set)
     listener: Listener | None = None
 
     def start(self) -> PgNode:
-        self.listener = self.env.listen(self.address, lambda: _NodePeer(self))
+        """Listen at `address`, and replace it by the real one. Errors: `OSError` if it can't listen."""
+        self.listener = self.env.listen(self.address, lambda: _PgPeer(self))
         self.address = self.listener.address
         return self
 
     def stop(self) -> None:
-        """As if its process had died."""
+        """Fail as if the process had died: stop listening and close all connections."""
         if self.listener is not None:
             self.listener.close()
         for peer in list(self.connections):
@@ -60,12 +65,14 @@
             if peer.handle is not None:
                 peer.handle.close()
 
-    def told(self) -> bytes:
+    def status_messages(self) -> bytes:
+        """ParameterStatus messages with the member's role and its commit clock in milliseconds."""
         return frames.parameter("server_role", "writer" if self.primary else "reader") + frames.parameter(
             "commit_clock", str(int(self.env.now() * 1000))
         )
 
     def usage(self) -> bytes:
+        """The answer to SHOW usage, without ReadyForQuery: position (the clock), role and load."""
         return row(
             b"x0=%.3f,x1=%d,outstanding=%d,backlog=0" % (self.env.now(), self.primary, self.open),
             b"SHOW",
@@ -73,27 +80,32 @@
         )
 
     def answer(self, statement: bytes) -> bytes:
-        """The usual one."""
+        """The usual answer to a statement: a write stores its value and returns it, a read returns the stored one.
+
+        A write at a replica, and a statement without a quoted key, get an ErrorResponse.
+        """
         key = re.search(rb"'([^']*)'", statement)
         if key is None:
             return frames.error("08P01", "not a statement") + frames.READY
         if statement.startswith(b"INSERT"):
             if not self.primary:
-                return frames.error("25006", "this is no primary") + self.told() + frames.READY
+                return frames.error("25006", "this is no primary") + self.status_messages() + frames.READY
             value = re.search(rb"'\\x([0-9a-f]*)'", statement)
             assert value is not None
             self.store[key[1]] = bytes.fromhex(value[1].decode())
-            return row(self.store[key[1]], b"INSERT 0 1") + self.told() + frames.READY
-        return row(self.store.get(key[1], b"none")) + self.told() + frames.READY
+            return row(self.store[key[1]], b"INSERT 0 1") + self.status_messages() + frames.READY
+        return row(self.store.get(key[1], b"none")) + self.status_messages() + frames.READY
 
 
-class _NodePeer(Peer):
+class _PgPeer(Peer):
+    """A connection that a PostgreSQL member accepted."""
+
     def __init__(self, node: PgNode) -> None:
         self.node = node
         self.handle: Handle | None = None
         self.reader = frames.ClientReader(1 << 20)
-        self.open = 0
-        self.asked = 0  # statements that came on it
+        self.open = 0  # statements without an answer
+        self.asked = 0  # all statements
 
     def up(self, handle: Handle) -> None:
         self.handle = handle
@@ -101,9 +113,9 @@
 
     def data(self, data: bytes) -> None:
         self.reader.feed(data)
-        while (found := self.reader.next()) is not None:
-            kind, body = found
-            if kind == b"":
+        while (message := self.reader.next()) is not None:
+            kind, body = message
+            if kind == b"":  # the startup message
                 self.reader.started = True
                 self.say(frames.AUTHENTICATED + frames.READY)
             elif kind == b"Q" and body == b"SHOW usage\0":
@@ -114,22 +126,27 @@
                 self.node.open += 1
                 self.open += 1
                 self.asked += 1
-                self.begin(body[:-1])
+                self.schedule_answer(body[:-1])
 
-    def begin(self, statement: bytes) -> None:
-        make = self.node.answers.popleft() if self.node.answers else PgNode.answer
-        self.node.env.at(self.node.env.now() + self.node.delay, lambda: self.work(make, statement))
+    def schedule_answer(self, statement: bytes) -> None:
+        """Choose how a statement is answered, and answer it after the member's delay."""
+        make_answer = self.node.answers.popleft() if self.node.answers else PgNode.answer
+        self.node.env.at(
+            self.node.env.now() + self.node.delay, lambda: self.answer_statement(make_answer, statement)
+        )
 
-    def work(self, make: Answer, statement: bytes) -> None:
+    def answer_statement(self, make_answer: Answer, statement: bytes) -> None:
+        """Answer a statement, unless the connection is gone. One that gets no answer stays counted as open."""
         if self not in self.node.connections:
             return
-        answer = make(self.node, statement)
+        answer = make_answer(self.node, statement)
         if answer is not None:
             self.open -= 1
             self.node.open -= 1
             self.say(answer)
 
     def say(self, data: bytes) -> None:
+        """Send bytes to the client, if the connection is up."""
         if self.handle is not None:
             self.handle.send(data)
 
@@ -146,21 +163,30 @@
 
 @dataclass(eq=False)
 class Catalogue:
-    """The list of members, over HTTP. `hold`: whether a watch waits; `failing`: calls end with 503."""
+    """The emulated catalogue of members: an HTTP server whose clients fetch a snapshot and then watch for changes.
+
+    A watch (`after=REVISION&wait_ms=MILLISECONDS`) is a long poll: it is answered at the next change, or with an empty
+    list after the wait. `version`: revision of the list. `failing`: each call is answered with status 503.
+    """
 
     env: Env
     address: str = "127.0.0.1:0"
-    targets: dict[str, dict[str, object]] = field(default_factory=dict)
+    targets: dict[str, dict[str, object]] = field(default_factory=dict)  # entries by uid
     version: int = 1
     failing: bool = False
-    calls: list[str] = field(default_factory=list)
-    on_call: Callable[[], None] = lambda: None  # told of each
-    waiting: list[tuple[_CatalogPeer, int]] = field(default_factory=list)
-    changes: list[tuple[int, dict[str, object]]] = field(default_factory=list)
+    calls: list[str] = field(default_factory=list)  # path and query of each call
+    on_call: Callable[[], None] = lambda: None  # called at each call, before it is answered
+    waiting: list[tuple[_CataloguePeer, int]] = field(
+        default_factory=list
+    )  # long polls: connection, revision known
+    changes: list[tuple[int, dict[str, object]]] = field(
+        default_factory=list
+    )  # revision and entry of each change
     listener: Listener | None = None
 
     def start(self) -> Catalogue:
-        self.listener = self.env.listen(self.address, lambda: _CatalogPeer(self))
+        """Listen at `address`, and replace it by the real one. Errors: `OSError` if it can't listen."""
+        self.listener = self.env.listen(self.address, lambda: _CataloguePeer(self))
         self.address = self.listener.address
         return self
 
@@ -173,7 +199,10 @@
         writes: bool = False,
         boot_ms: int = 0,
     ) -> None:
-        """Add a member or change it; those who watch are told."""
+        """Add a member, change it, or remove it (state DELETED), and answer all long polls.
+
+        `writes`: the member is a primary. `boot_ms`: its start, in milliseconds.
+        """
         entry: dict[str, object] = {
             "uid": uid,
             "endpoint": address,
@@ -193,17 +222,21 @@
             self.targets[uid] = entry
         waiting, self.waiting = self.waiting, []
         for peer, after in waiting:
-            peer.answer(self.news(after))
+            peer.answer(self.changes_after(after))
 
     def whole(self) -> dict[str, object]:
+        """The snapshot: all members."""
         return {"rev": self.version, "all": True, "targets": list(self.targets.values())}
 
-    def news(self, after: int) -> dict[str, object]:
-        told = {str(entry["uid"]): entry for version, entry in self.changes if version > after}
-        return {"rev": self.version, "all": False, "targets": list(told.values())}
+    def changes_after(self, after: int) -> dict[str, object]:
+        """The delta since revision `after`: the newest entry of each member that changed."""
+        changed = {str(entry["uid"]): entry for version, entry in self.changes if version > after}
+        return {"rev": self.version, "all": False, "targets": list(changed.values())}
+
 
+class _CataloguePeer(Peer):
+    """A connection that the catalogue accepted. It serves HTTP/1.1 GET requests, one after the other."""
 
-class _CatalogPeer(Peer):
     def __init__(self, catalogue: Catalogue) -> None:
         self.catalogue = catalogue
         self.handle: Handle | None = None
@@ -216,34 +249,38 @@
         self.buffer += data
         while b"\r\n\r\n" in self.buffer:
             head, _, self.buffer = self.buffer.partition(b"\r\n\r\n")
-            self.call(head.split(b" ")[1].decode())
+            self.handle_call(head.split(b" ")[1].decode())
 
-    def call(self, target: str) -> None:
+    def handle_call(self, target: str) -> None:
+        """Answer a call for the path and query `target`, or keep it waiting if it is a watch without news."""
         catalogue = self.catalogue
         catalogue.calls.append(target)
         catalogue.on_call()
         if catalogue.failing:
             return self.say(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-        found = re.search(r"after=(\d+)&wait_ms=(\d+)", target)
-        if found is None:
+        watch = re.search(r"after=(\d+)&wait_ms=(\d+)", target)
+        if watch is None:
             return self.answer(catalogue.whole())
-        after = int(found[1])
+        after = int(watch[1])
         if catalogue.version > after:
-            return self.answer(catalogue.news(after))
+            return self.answer(catalogue.changes_after(after))
         catalogue.waiting.append((self, after))
-        catalogue.env.at(catalogue.env.now() + int(found[2]) / 1000, lambda: self.overdue(after))
+        catalogue.env.at(catalogue.env.now() + int(watch[2]) / 1000, lambda: self.end_long_poll(after))
 
-    def overdue(self, after: int) -> None:
+    def end_long_poll(self, after: int) -> None:
+        """Answer a long poll whose wait is over, if it has not been answered yet."""
         if (self, after) in self.catalogue.waiting:
             self.catalogue.waiting.remove((self, after))
-            self.answer(self.catalogue.news(after))
+            self.answer(self.catalogue.changes_after(after))
 
     def answer(self, content: dict[str, object]) -> None:
+        """Answer a call with status 200 and `content` as JSON."""
         body = json.dumps(content).encode()
         head = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
         self.say(head % len(body) + body)
 
     def say(self, data: bytes) -> None:
+        """Send bytes to the client, if the connection is up."""
         if self.handle is not None:
             self.handle.send(data)
 
