--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,8 @@
-"""The same verdict every time: generated cases are drawn from a fixed seed. KNOWN-RED.txt is held here."""
+"""Settings of all tests.
+
+Generated test cases come from a fixed seed, so that one commit gets the same result in each run. The tests listed in
+KNOWN-RED.txt are marked as expected failures, and each run prints them.
+"""
 
 from __future__ import annotations
 
@@ -16,24 +20,29 @@
 settings.load_profile("fixed")
 
 
-def _reds() -> list[known_red.Red]:
+def _known_failures() -> list[known_red.KnownFailure]:
+    """The list. Errors: `pytest.UsageError` if it can't be read."""
     try:
         return known_red.read(KNOWN_RED)
-    except known_red.BadList as error:
+    except known_red.InvalidListError as error:
         raise pytest.UsageError(str(error)) from None
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    _reds()
+    """Refuse to start if the list can't be read."""
+    _known_failures()
+
 
+class InvalidListItem(pytest.Item):
+    """A test that always fails, added to the collected ones if a line of the list names no test.
 
-class WrongLine(pytest.Item):
-    """Stands among the tests and fails, where a line names no test; also where several workers share the tests."""
+    As it runs like any other test, it also fails a run whose tests are shared between several workers.
+    """
 
-    fault = ""
+    message = ""
 
     def runtest(self) -> None:
-        raise known_red.BadList(self.fault)
+        raise known_red.InvalidListError(self.message)
 
     def reportinfo(self) -> tuple[Path, int, str]:
         return KNOWN_RED, 0, KNOWN_RED.name
@@ -41,21 +50,23 @@
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    reds = _reds()
+    """Mark the known failures as strictly expected, and add a failing test if a line names no test."""
+    known_failures = _known_failures()
     if not items:
         return
     try:
-        known_red.check(reds, [item.nodeid for item in items], ROOT, config.args)
-    except known_red.BadList as error:
-        wrong = WrongLine.from_parent(items[0].session, name=KNOWN_RED.name)
-        wrong.fault = str(error)
-        items.append(wrong)
+        known_red.check(known_failures, [item.nodeid for item in items], ROOT, config.args)
+    except known_red.InvalidListError as error:
+        invalid = InvalidListItem.from_parent(items[0].session, name=KNOWN_RED.name)
+        invalid.message = str(error)
+        items.append(invalid)
     for item in items:
-        for red in reds:
-            if red.names(item.nodeid):
-                item.add_marker(pytest.mark.xfail(reason=f"{red.cause} (issue {red.issue})", strict=True))
+        for known in known_failures:
+            if known.matches(item.nodeid):
+                item.add_marker(pytest.mark.xfail(reason=f"{known.cause} (issue {known.issue})", strict=True))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    for red in _reds():
-        terminalreporter.write_line(f"known red: {red.test} | {red.cause} | issue {red.issue}")
+    """Print the known failures at the end of each run."""
+    for known in _known_failures():
+        terminalreporter.write_line(f"known red: {known.test} | {known.cause} | issue {known.issue}")
--- a/tests/fake_members.py
+++ b/tests/fake_members.py
@@ -1,4 +1,4 @@
-"""Members of a fleet that say what a test tells them to, on loopback: an operator's tool can't tell the difference."""
+"""Fake voters and aggregators on loopback, which answer an operator's command as a test tells them to."""
 
 from __future__ import annotations
 
@@ -9,17 +9,22 @@
 
 from banklift.fleet.messages import VERSION, Frames, Hello, Message, encode
 
-Reply = Callable[[Message], list[Message]]  # what is said to each message but the operator's `Hello`
-PATIENCE = 60.0  # seconds after which a test that hangs ends
+Reply = Callable[[Message], list[Message]]  # makes the answers to a message other than the operator's `Hello`
+HANG_TIMEOUT_SECONDS = 60.0  # ends a test that hangs
 
 
 class FakeMember:
-    """Listens at `address`, in a thread of its own, and answers whoever greets it. `silent`: says nothing at all."""
+    """Listens on a free port of 127.0.0.1, in a thread of its own, until `close`.
+
+    It answers a `Hello` with `greeting` (by default a `Hello` of its own) and any other message with what `reply`
+    returns. `silent`: it reads and never answers. `heard`: all messages it received.
+    """
 
     def __init__(
         self, name: str, reply: Reply, silent: bool = False, greeting: Message | None = None
     ) -> None:
-        self.reply, self.silent = reply, silent
+        self.reply = reply
+        self.silent = silent
         self.greeting = greeting or Hello(VERSION, "game", name, 1, (), 0.0)
         self.heard: list[Message] = []
         self._listener = socket.create_server(("127.0.0.1", 0))
@@ -29,19 +34,20 @@
         self._thread.start()
 
     def _serve(self) -> None:
+        """Accept connections one after the other, until the listener is closed."""
         while True:
             try:
                 connection, _ = self._listener.accept()
             except OSError:
                 return
-            connection.settimeout(PATIENCE)
+            connection.settimeout(HANG_TIMEOUT_SECONDS)
             self._connections.append(connection)
             try:
-                self._talk(connection)
+                self._answer_messages(connection)
             except OSError:
                 connection.close()
 
-    def _talk(self, connection: socket.socket) -> None:
+    def _answer_messages(self, connection: socket.socket) -> None:
         frames = Frames()
         while data := connection.recv(65536):
             for message in frames.feed(data):
@@ -49,20 +55,21 @@
                 if self.silent:
                     continue
                 answers = [self.greeting] if isinstance(message, Hello) else self.reply(message)
-                connection.sendall(b"".join(encode(one) for one in answers))
+                connection.sendall(b"".join(encode(answer) for answer in answers))
         connection.close()
 
     def close(self) -> None:
+        """Stop listening and close all connections."""
         self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
         for connection in self._connections:
             connection.close()
-        self._thread.join(PATIENCE)
+        self._thread.join(HANG_TIMEOUT_SECONDS)
 
 
 @contextmanager
 def fake_members(**replies: Reply) -> Iterator[dict[str, FakeMember]]:
-    """One for each name."""
+    """Run a fake member for each name with its reply, and close them in the end."""
     with ExitStack() as stack:
         members = {name: FakeMember(name, reply) for name, reply in replies.items()}
         for member in members.values():
@@ -71,6 +78,6 @@
 
 
 def free_address() -> str:
-    """Where nobody listens at this moment."""
+    """An address (host:port) at which nobody listens at this moment."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         return f"127.0.0.1:{listener.getsockname()[1]}"
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,8 @@
-"""KNOWN-RED.txt: the tests that may fail, each with its cause and its issue.
+"""Reads KNOWN-RED.txt, the list of tests that are expected to fail, each with its cause and its issue.
 
-A line names one test as pytest does (`tests/test_x.py::test_y`, with its parameters or without). A test that is listed
-and passes fails the run, so does a line that can't be read, one that names no test, and a fourth line.
+A line has the form `test id | cause | issue`. The test id is that of pytest (`tests/test_x.py::test_y`); without
+parameters it stands for all parameters of the test. The run fails if a listed test passes, if a line can't be read or
+names no test, and if there are more than `MAX_KNOWN_FAILURES` lines.
 """
 
 from __future__ import annotations
@@ -11,61 +12,78 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-MOST = 3
+MAX_KNOWN_FAILURES = 3
 
 
-class BadList(Exception):
-    """KNOWN-RED.txt can't be used; the text names line and fault."""
+class InvalidListError(Exception):
+    """KNOWN-RED.txt can't be used; the text names the line and what is wrong with it."""
 
 
 @dataclass(frozen=True)
-class Red:
-    line: int
-    test: str
+class KnownFailure:
+    """One line of the list."""
+
+    line: int  # number of the line, from 1
+    test: str  # test id
     cause: str
-    issue: int
+    issue: int  # number of the issue
 
-    def names(self, test: str) -> bool:
-        """Whether it names that test; without parameters it names all of them."""
+    def matches(self, test: str) -> bool:
+        """Whether the line stands for the test with this id. A line without parameters stands for all of them."""
         return test == self.test or test.startswith(self.test + "[")
 
 
-def parse(text: str) -> list[Red]:
-    """Errors: `BadList`."""
-    reds: list[Red] = []
+def parse(text: str) -> list[KnownFailure]:
+    """Parse the content of the list. Errors: `InvalidListError`."""
+    known_failures: list[KnownFailure] = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith("#"):
             continue
         place = f"KNOWN-RED.txt, line {number}: "
         fields = [field.strip() for field in line.split("|")]
         if len(fields) != 3 or not all(fields):
-            raise BadList(place + "`test id | cause | issue` is needed")
+            raise InvalidListError(place + "`test id | cause | issue` is needed")
         test, cause, issue = fields
         if not re.fullmatch(r"tests/\w+\.py::\w.*", test):
-            raise BadList(place + f"no test id: {test!r}")
+            raise InvalidListError(place + f"not a test id: {test!r}")
         if not re.fullmatch(r"#?[0-9]+", issue):
-            raise BadList(place + f"the issue's number is needed, not {issue!r}")
-        if any(red.test == test for red in reds):
-            raise BadList(place + f"{test} stands there twice")
-        reds.append(Red(number, test, cause, int(issue.lstrip("#"))))
-    if len(reds) > MOST:
-        raise BadList(f"KNOWN-RED.txt, line {reds[MOST].line}: more than {MOST} tests")
-    return reds
+            raise InvalidListError(place + f"the issue must be a number, not {issue!r}")
+        if any(known.test == test for known in known_failures):
+            raise InvalidListError(place + f"{test} is listed twice")
+        known_failures.append(KnownFailure(number, test, cause, int(issue.lstrip("#"))))
+    if len(known_failures) > MAX_KNOWN_FAILURES:
+        raise InvalidListError(
+            f"KNOWN-RED.txt, line {known_failures[MAX_KNOWN_FAILURES].line}: "
+            f"more than {MAX_KNOWN_FAILURES} tests"
+        )
+    return known_failures
 
 
-def read(path: Path) -> list[Red]:
-    """An absent file lists none. Errors: `BadList`."""
+def read(path: Path) -> list[KnownFailure]:
+    """Read the list; a file that does not exist lists no test. Errors: `InvalidListError`."""
     return parse(path.read_text(encoding="utf-8")) if path.exists() else []
 
 
-def check(reds: Iterable[Red], tests: Iterable[str], root: Path, chosen: Iterable[str]) -> None:
-    """`tests`: those collected; `chosen`: what the run was asked for, as on the command line. A line whose file was not
-    collected is not held against it, unless there is no such file. Errors: `BadList`."""
-    names = list(tests)
-    files = {name.partition("::")[0] for name in names}
-    single = {argument.partition("::")[0] for argument in chosen if "::" in argument}
-    for red in reds:
-        file = red.test.partition("::")[0]
-        known = file not in files or any(Path(one).name == Path(file).name for one in single)
-        if not (root / file).exists() or (not known and not any(red.names(name) for name in names)):
-            raise BadList(f"KNOWN-RED.txt, line {red.line}: there is no test {red.test}")
+def check(
+    known_failures: Iterable[KnownFailure], tests: Iterable[str], root: Path, arguments: Iterable[str]
+) -> None:
+    """Check that each line stands for a test that exists.
+
+    `tests`: ids of the collected tests. `root`: the folder of the project. `arguments`: files and test ids that the
+    run was started with. If a run collects only a part of the tests, a line for one of the others is checked for its
+    file only.
+
+    Errors: `InvalidListError` for the first line without a test.
+    """
+    collected = list(tests)
+    collected_files = {test.partition("::")[0] for test in collected}
+    partial_files = {argument.partition("::")[0] for argument in arguments if "::" in argument}
+    for known in known_failures:
+        file = known.test.partition("::")[0]
+        may_be_uncollected = file not in collected_files or any(
+            Path(partial).name == Path(file).name for partial in partial_files
+        )
+        if not (root / file).exists() or (
+            not may_be_uncollected and not any(known.matches(test) for test in collected)
+        ):
+            raise InvalidListError(f"KNOWN-RED.txt, line {known.line}: there is no test {known.test}")
--- a/tests/test_habits.py
+++ b/tests/test_habits.py
@@ -1,4 +1,4 @@
-"""Small habits of the project: commits that say what they change, benchmarks that start."""
+"""Rules of the repository: commit messages have a title and a body, and each benchmark program starts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 BENCHMARKS = sorted(ROOT.joinpath("benchmarks").glob("*.py"))
 
 
-def load() -> ModuleType:
+def load_commits_tool() -> ModuleType:
+    """Import tools/commits.py, which is not part of a package."""
     spec = importlib.util.spec_from_file_location("commits", ROOT / "tools/commits.py")
     assert spec is not None and spec.loader is not None
     module = importlib.util.module_from_spec(spec)
@@ -23,7 +24,7 @@
     return module
 
 
-commits = load()
+commits = load_commits_tool()
 
 
 @pytest.mark.parametrize(
@@ -39,13 +40,13 @@
         ("Title\n\nBody: three words here.\n", None),
     ],
 )
-def test_messages_are_judged(message: str, fault: str | None) -> None:
+def test_a_message_with_a_faulty_title_or_body_is_reported(message: str, fault: str | None) -> None:
     found = commits.faults(message)
     assert bool(found) == (fault is not None)
     assert fault is None or fault in found[0]
 
 
-def test_the_hook_refuses_a_commit_and_the_history_is_looked_through(tmp_path: Path) -> None:
+def test_the_hook_refuses_a_faulty_commit_and_the_tool_checks_the_history(tmp_path: Path) -> None:
     def git(*arguments: str) -> subprocess.CompletedProcess[str]:
         return subprocess.run(
             ["git", "-c", "user.name=a", "-c", "user.email=a@b", *arguments],
@@ -69,20 +70,20 @@
     tool = tmp_path / "tools/commits.py"
     for since, code in ((first, 1), (git("rev-parse", "HEAD").stdout.strip(), 0)):
         tool.write_text(tool.read_text().replace(commits.SINCE, since).replace(first, since))
-        looked = subprocess.run(
+        checked = subprocess.run(
             [sys.executable, tool], cwd=tmp_path, capture_output=True, text=True, check=False
         )
-        assert looked.returncode == code
-        assert looked.stdout.startswith(f"commits: {code} messages looked at, {code} faults")
+        assert checked.returncode == code
+        assert checked.stdout.startswith(f"commits: {code} messages looked at, {code} faults")
 
 
-def test_there_are_benchmarks() -> None:
+def test_the_benchmark_programs_are_found() -> None:
     assert len(BENCHMARKS) >= 8
 
 
 @pytest.mark.parametrize("path", BENCHMARKS, ids=lambda path: path.stem)
-def test_a_benchmark_starts_and_hides_no_module(path: Path) -> None:
-    """A script's folder comes first on its path, so its neighbours' names go before the standard library's."""
+def test_a_benchmark_prints_its_usage_and_hides_no_standard_module(path: Path) -> None:
+    """Python searches the folder of a script first, so a script named like a standard module would hide it."""
     assert path.stem not in sys.stdlib_module_names
     shown = subprocess.run(
         [sys.executable, path, "--help"], capture_output=True, text=True, timeout=120, check=False
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: what it excuses, and what it never does."""
+"""KNOWN-RED.txt: which failures it allows, and which faults of the list fail the run."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 import pytest
 
-from tests.known_red import BadList, Red, check, parse, read
+from tests.known_red import InvalidListError, KnownFailure, check, parse, read
 
 HERE = Path(__file__).parent
 LINE = "tests/test_some.py::test_fails | a fault | 12"
 
 
 def run(folder: Path, lines: str, *arguments: str) -> subprocess.CompletedProcess[str]:
-    """A run of pytest over two tests, one of which fails."""
+    """Run pytest over two tests, one of which fails, with `lines` as the list."""
     (folder / "tests").mkdir()
     for name in ("__init__.py", "conftest.py", "known_red.py"):
         shutil.copy(HERE / name, folder / "tests" / name)
@@ -45,21 +45,25 @@
 
 
 @pytest.mark.parametrize("workers", [(), ("-n", "2")])
-def test_a_listed_failure_is_expected_and_printed(tmp_path: Path, workers: tuple[str, ...]) -> None:
-    ended = run(tmp_path, "# heading\n" + LINE + "\n", "tests", *workers)
-    assert ended.returncode == 0, ended.stdout
-    assert "1 passed, 1 xfailed" in ended.stdout
-    assert "known red: tests/test_some.py::test_fails | a fault | issue 12" in ended.stdout
-
-
-def test_nothing_listed_excuses_nothing(tmp_path: Path) -> None:
-    ended = run(tmp_path, "# heading\n")
-    assert ended.returncode == 1 and "1 failed, 1 passed" in ended.stdout and "known red" not in ended.stdout
+def test_a_listed_failure_passes_the_run_and_is_printed(tmp_path: Path, workers: tuple[str, ...]) -> None:
+    finished = run(tmp_path, "# heading\n" + LINE + "\n", "tests", *workers)
+    assert finished.returncode == 0, finished.stdout
+    assert "1 passed, 1 xfailed" in finished.stdout
+    assert "known red: tests/test_some.py::test_fails | a fault | issue 12" in finished.stdout
+
+
+def test_a_failure_that_is_not_listed_fails_the_run(tmp_path: Path) -> None:
+    finished = run(tmp_path, "# heading\n")
+    assert (
+        finished.returncode == 1
+        and "1 failed, 1 passed" in finished.stdout
+        and "known red" not in finished.stdout
+    )
 
 
 def test_a_listed_test_that_passes_fails_the_run(tmp_path: Path) -> None:
-    ended = run(tmp_path, LINE.replace("test_fails", "test_passes"))
-    assert ended.returncode == 1 and "2 failed" in ended.stdout
+    finished = run(tmp_path, LINE.replace("test_fails", "test_passes"))
+    assert finished.returncode == 1 and "2 failed" in finished.stdout
 
 
 @pytest.mark.parametrize("workers", [(), ("-n", "2")])
@@ -70,11 +74,11 @@
         (LINE.replace("test_fails", "test_gone"), "line 1: there is no test tests/test_some.py::test_gone"),
     ],
 )
-def test_a_wrong_line_fails_the_run(
+def test_a_line_that_is_malformed_or_names_no_test_fails_the_run(
     tmp_path: Path, lines: str, reason: str, workers: tuple[str, ...]
 ) -> None:
-    ended = run(tmp_path, lines, "tests", *workers)
-    assert ended.returncode not in (0, 5) and reason in ended.stdout + ended.stderr
+    finished = run(tmp_path, lines, "tests", *workers)
+    assert finished.returncode not in (0, 5) and reason in finished.stdout + finished.stderr
 
 
 @pytest.mark.parametrize(
@@ -83,32 +87,32 @@
         ("# heading\n\nnonsense", "line 3: `test id"),
         ("a | b | c | 5", "line 1: `test id"),
         ("tests/test_some.py::test_a |  | 5", "line 1: `test id"),
-        ("test_a | b | 5", "line 1: no test id: 'test_a'"),
-        ("tests/test_some.py::test_a | b | soon", "line 1: the issue's number is needed, not 'soon'"),
-        (LINE + "\n" + LINE, "line 2: tests/test_some.py::test_fails stands there twice"),
-        ("\n".join(LINE.replace("fails", str(place)) for place in range(4)), "line 4: more than 3 tests"),
+        ("test_a | b | 5", "line 1: not a test id: 'test_a'"),
+        ("tests/test_some.py::test_a | b | soon", "line 1: the issue must be a number, not 'soon'"),
+        (LINE + "\n" + LINE, "line 2: tests/test_some.py::test_fails is listed twice"),
+        ("\n".join(LINE.replace("fails", str(number)) for number in range(4)), "line 4: more than 3 tests"),
     ],
 )
-def test_a_malformed_list_is_refused_with_its_line(text: str, reason: str) -> None:
-    with pytest.raises(BadList, match="^KNOWN-RED.txt, " + reason.replace("|", r"\|")):
+def test_the_error_for_a_malformed_list_names_the_line(text: str, reason: str) -> None:
+    with pytest.raises(InvalidListError, match="^KNOWN-RED.txt, " + reason.replace("|", r"\|")):
         parse(text)
 
 
-def test_a_line_without_parameters_names_all_of_them_and_no_other() -> None:
-    red = Red(1, "tests/test_some.py::test_a", "a fault", 12)
-    assert red.names("tests/test_some.py::test_a") and red.names("tests/test_some.py::test_a[x]")
-    assert not red.names("tests/test_some.py::test_ab")
+def test_a_line_without_parameters_matches_all_parameters_of_its_test_only() -> None:
+    known = KnownFailure(1, "tests/test_some.py::test_a", "a fault", 12)
+    assert known.matches("tests/test_some.py::test_a") and known.matches("tests/test_some.py::test_a[x]")
+    assert not known.matches("tests/test_some.py::test_ab")
 
 
-def test_a_run_of_part_of_the_tests_holds_no_other_line_against_it(tmp_path: Path) -> None:
+def test_a_run_of_some_tests_accepts_lines_for_the_others(tmp_path: Path) -> None:
     (tmp_path / "tests").mkdir()
     (tmp_path / "tests" / "test_some.py").touch()
-    reds = parse(LINE)
-    check(reds, ["tests/test_other.py::test_b"], tmp_path, ["tests/test_other.py"])
-    check(reds, ["tests/test_some.py::test_b"], tmp_path, ["tests/test_some.py::test_b"])
-    with pytest.raises(BadList):
-        check(reds, ["tests/test_some.py::test_b"], tmp_path, ["tests"])
-    with pytest.raises(BadList, match="there is no test"):
+    known_failures = parse(LINE)
+    check(known_failures, ["tests/test_other.py::test_b"], tmp_path, ["tests/test_other.py"])
+    check(known_failures, ["tests/test_some.py::test_b"], tmp_path, ["tests/test_some.py::test_b"])
+    with pytest.raises(InvalidListError):
+        check(known_failures, ["tests/test_some.py::test_b"], tmp_path, ["tests"])
+    with pytest.raises(InvalidListError, match="there is no test"):
         check(parse(LINE.replace("some", "none")), ["tests/test_some.py::test_b"], tmp_path, ["tests"])
 
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as it stands."""
+"""The example in README.md runs and sends the request that it shows."""
 
 from pathlib import Path
 from typing import Any
@@ -6,7 +6,7 @@
 from banklift import Send
 
 
-def test_example() -> None:
+def test_the_example_of_the_readme_runs() -> None:
     text = Path(__file__).parent.parent.joinpath("README.md").read_text()
     code = text.split("<!-- example -->\n```python\n")[1].split("```")[0]
     names: dict[str, Any] = {}
