--- a/banklift/emulator/node.py
+++ b/banklift/emulator/node.py
@@ -52,10 +52,13 @@
 class Faults:
     """The faults of a member. They may be set at any time and hold from then on.
 
-    A factor multiplies the usual value; a share is a probability from 0 to 1.
+    `Node.thaw` ends `hang`, and `Node.ship` ends `withhold`. A factor multiplies the usual value; a share is a
+    probability from 0 to 1.
     """
 
-    hang: bool = False  # requests get no answer, except ROLE and INFO
+    hang: bool = (
+        False  # requests get no answer, except ROLE and INFO, and the stream of the primary is not applied
+    )
     hang_probes: bool = False  # ROLE and INFO get no answer either during a hang
     hang_runs: float = 0.5  # share of the unanswered requests that are executed all the same
     slow: float = 1.0  # factor on the work of each command
@@ -102,10 +105,10 @@
 
     To be carried out by the owner, on connection `conn`:
       send       send `data`
-      close      close the connection
+      close      close the connection; `data`: full (too many connections), or empty
       connect    connect to the primary at the address in `data`
 
-    To be recorded only:
+    To be recorded only (a close is recorded too, with `data` "other end" if that end closed the connection):
       command    a command arrived (`args`), or a whole transaction, with the arguments of all its commands
       ran        a write was executed; `log` holds the commands that replicas apply
       answer     a command was answered with `data`; `turned`: it was refused and nothing was executed
@@ -158,9 +161,8 @@
         self.store = Store(numbered_keys)
         self.replid = self._new_replication_id()
         self.replid2 = NO_REPLICATION_ID  # the history that `replid` continues, as after a promotion
-        self.second_replid_offset = (
-            -1
-        )  # number of the first byte that is not part of `replid2`; -1: no `replid2`
+        # Number of the first byte of the log that is not part of `replid2`; -1: there is no `replid2`.
+        self.second_replid_offset = -1
         self.offset = 0  # bytes of the log
         self.backlog = bytearray()  # the end of the log, up to `offset`
         self.primary: str | None = None  # address of the primary; None: this member is a primary
@@ -177,9 +179,8 @@
         self.handshake_stage = ""  # ping, port, psync, copy, and then stream
         self.handshake_buffer = bytearray()  # bytes of the primary that precede its stream
         self.full_resync = ("", 0)  # replication ID and offset of the full copy under way
-        self.inbox: deque[bytes] = (
-            deque()
-        )  # commands and whole transactions of the stream that are not applied yet
+        # Commands and whole transactions of the stream that are not applied yet.
+        self.inbox: deque[bytes] = deque()
         self.partial_transaction: list[bytes] = []  # commands of the stream since a MULTI without its EXEC
         self.applying = False
         self.apply_held = 0  # long reads during which nothing is applied
@@ -401,6 +402,7 @@
         """Start the commands at the front of a connection's queue, up to one that needs a core."""
         while connection.queue and not connection.busy and not connection.closed:
             if connection.is_stuck and not self.faults.hang:
+                # An answer now would be taken for that of the command that got none, so there is no more answer.
                 connection.queue.clear()
                 return
             if connection.ready_at > self.now:
--- a/banklift/emulator/platform.py
+++ b/banklift/emulator/platform.py
@@ -16,6 +16,7 @@
 from banklift.net.env import Env, Handle, Listener, Peer
 from banklift.pg import frames
 
+MAX_MESSAGE_BYTES = 1 << 20  # the body of one message of a client
 Answer = Callable[["PgNode", bytes], bytes | None]  # makes the answer to a statement; None: no answer is sent
 
 
@@ -103,7 +104,7 @@
     def __init__(self, node: PgNode) -> None:
         self.node = node
         self.handle: Handle | None = None
-        self.reader = frames.ClientReader(1 << 20)
+        self.reader = frames.ClientReader(MAX_MESSAGE_BYTES)
         self.open = 0  # statements without an answer
         self.asked = 0  # all statements
 
@@ -166,7 +167,7 @@
     """The emulated catalogue of members: an HTTP server whose clients fetch a snapshot and then watch for changes.
 
     A watch (`after=REVISION&wait_ms=MILLISECONDS`) is a long poll: it is answered at the next change, or with an empty
-    list after the wait. `version`: revision of the list. `failing`: each call is answered with status 503.
+    list once the wait is over. `version`: revision of the list. `failing`: each call is answered with status 503.
     """
 
     env: Env
@@ -176,12 +177,10 @@
     failing: bool = False
     calls: list[str] = field(default_factory=list)  # path and query of each call
     on_call: Callable[[], None] = lambda: None  # called at each call, before it is answered
-    waiting: list[tuple[_CataloguePeer, int]] = field(
-        default_factory=list
-    )  # long polls: connection, revision known
-    changes: list[tuple[int, dict[str, object]]] = field(
-        default_factory=list
-    )  # revision and entry of each change
+    # Long polls without an answer: the connection, and the revision that its client has.
+    waiting: list[tuple[_CataloguePeer, int]] = field(default_factory=list)
+    # The revision and the entry of each change.
+    changes: list[tuple[int, dict[str, object]]] = field(default_factory=list)
     listener: Listener | None = None
 
     def start(self) -> Catalogue:
--- a/banklift/emulator/stand.py
+++ b/banklift/emulator/stand.py
@@ -56,18 +56,16 @@
         self.config = config
         self.env = env
         self.nodes: dict[str, NodeHost] = {}  # by name of the member
-        self.states: dict[
-            str, str
-        ] = {}  # by name of the member: ready, draining or gone, as in a roster file
-        self.started: dict[
-            str, float
-        ] = {}  # by name of the member: its last restart, seconds on the clock of `env`
+        # By name of the member: ready, draining or gone, as in a roster file.
+        self.states: dict[str, str] = {}
+        # By name of the member: its last restart, in seconds on the clock of `env`; absent if it never restarted.
+        self.started: dict[str, float] = {}
         self.roles: dict[str, str] = {}  # by name of the group: the name of its primary
         for group_index, group in enumerate(config.groups):
             for member_index, member in enumerate(group.members):
                 node = Node(
                     member.name,
-                    seed * 1000 + group_index * 100 + member_index,
+                    seed * 1000 + group_index * 100 + member_index,  # a different seed for each member
                     command_seconds=command_seconds,
                     apply_seconds=apply_seconds,
                     numbered_keys=numbered_keys,
@@ -151,7 +149,7 @@
 
 
 class RoutersHere:
-    """Routers in this process, on the `Env` of the stand.
+    """Routers (see `Routers`) in this process, on the `Env` of the stand.
 
     `make` builds the state machine of a router from the configuration and a seed; a test may pass one with a fault.
     `log` gets the number of the router, the event and its fields for each log entry.
@@ -192,23 +190,27 @@
         return host
 
     def roster(self, stand: Stand) -> None:
+        """Pass the roster of the stand to all routers after a delay, which stands for the time to read a file."""
         event = build.roster(stand.config, stand.groups(), 0.0)
         for host in self.hosts:
             stand.env.at(stand.env.now() + ROSTER_DELAY_SECONDS, lambda host=host: host.tell(event))  # type: ignore[misc]
 
     def kill(self, number: int) -> None:
+        """End a router as SIGKILL does: it closes its connections and does nothing more."""
         self.hosts[number].kill()
 
     def restart(self, number: int) -> None:
+        """Start a killed router again at its address; nothing if it runs."""
         if self.hosts[number].dead:
             self.hosts[number] = self._start(number, self.addresses[number])
 
     def stall(self, number: int, seconds: float) -> None:
+        """Stop a router for some seconds."""
         self.hosts[number].stall(seconds)
 
 
 class RouterProcesses:
-    """Routers as processes of their own, for a stand on real sockets.
+    """Routers (see `Routers`) as processes of their own, for a stand on real sockets.
 
     Their configuration, roster and log files lie in a new temporary folder. Restarts run in `tasks`. `unix_epoch_at`:
     reading of the clock of the stand's `Env` at the Unix epoch, in seconds.
@@ -250,10 +252,10 @@
         path = self.folder / f"router-{number}.json"
         log = self.folder / f"router-{number}.log"
         path.write_text(json.dumps(settings))
-        with log.open("ab") as errors:
+        with log.open("ab") as log_file:
             process = await anyio.open_process(
                 [sys.executable, "-m", "banklift", "router", "--config", str(path)],
-                stderr=errors,
+                stderr=log_file,
                 stdout=subprocess.PIPE,
             )
         self.processes[number] = process
@@ -269,15 +271,18 @@
         return str(json.loads(line)["listening"])
 
     def kill(self, number: int) -> None:
+        """Send SIGKILL to a router; nothing if it was killed before."""
         if not self.killed.get(number):
             self.killed[number] = True
             os.kill(self.processes[number].pid, signal.SIGKILL)
 
     def restart(self, number: int) -> None:
+        """Start a killed router again at its address, without waiting for it; nothing if it runs."""
         if self.killed.pop(number, False):
             self.tasks.start_soon(self.start, number, self.addresses[number])
 
     def stall(self, number: int, seconds: float) -> None:
+        """Send SIGSTOP to a router, and SIGCONT after some seconds; of several calls the last end counts."""
         process = self.processes[number]
         env = self.stand.env
         if self.killed.get(number):
--- a/banklift/emulator/store.py
+++ b/banklift/emulator/store.py
@@ -72,7 +72,10 @@
         return answer
 
     def _execute_script(self, args: list[bytes], now: float, log: list[list[bytes]]) -> object:
-        """Execute the calls of a script one after the other. Returns the answer of the last one, or an `Error`."""
+        """Execute the calls of a script one after the other. Returns the answer of the last one.
+
+        A write in a read-only script ends it with an `Error`.
+        """
         key_count = int(args[2])
         script_args = {b"KEYS": args[3 : 3 + key_count], b"ARGV": args[3 + key_count :]}
         answer: object = None
--- a/banklift/emulator/world.py
+++ b/banklift/emulator/world.py
@@ -124,9 +124,8 @@
         self.one_way = one_way
         self.clock = start
         self.listeners: dict[str, WorldListener] = {}  # by address
-        self.late: dict[
-            str, float
-        ] = {}  # by address: seconds by which a connection to it comes up later; infinite: never
+        # By address: seconds by which a connection to it comes up later; infinite: never.
+        self.late: dict[str, float] = {}
         self.queue: list[tuple[float, int, Callable[[], None]]] = []  # heap: time, number, callback
         self.events_created = 0  # numbers the events, so that those of one time run in order
         self.last_free_port = LAST_FIXED_PORT
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -80,6 +80,8 @@
     partial_files = {argument.partition("::")[0] for argument in arguments if "::" in argument}
     for known in known_failures:
         file = known.test.partition("::")[0]
+        # A run of other files, or of single tests of this file, need not have collected the test. Arguments may be
+        # paths from any folder, so only the file names are compared.
         may_be_uncollected = file not in collected_files or any(
             Path(partial).name == Path(file).name for partial in partial_files
         )
