--- a/banklift/balance.py
+++ b/banklift/balance.py
@@ -126,20 +126,20 @@
     role_known_at: float = -math.inf  # time at which the newest fact on its role was true
     position: float = -math.inf  # proven replication position; it only rises
     last_answer_at: float = -math.inf
-    seen: float = -math.inf  # last answer or report
-    reported: float = -math.inf
+    last_heard_at: float = -math.inf  # last answer or report
+    last_report_at: float = -math.inf
     load: float = 0.0  # requests there: as last reported, plus those sent and minus those answered since
     # seconds behind when last heard; 0 where that is no more than the usual age of a report
     replication_lag: float = 0.0
     connect_failed_at: float = -math.inf  # last failed connect, reset by an answer
     failed_at: float = -math.inf  # last failed attempt that counts against the member
     recent_successes: float = 0.0  # successful answers since the last failure, older ones decay
-    rate: float = 0.0  # work answered a second, in seconds of usual latency, as of `answer_rate_at`
+    answer_rate: float = 0.0  # work answered a second, in seconds of usual latency, as of `answer_rate_at`
     answer_rate_at: float = 0.0
-    probed: float = -math.inf
+    probed_at: float = -math.inf
     # attempts in flight by request and attempt: time sent, usual latency, load of the member then (0:
     # unknown)
-    flying: dict[tuple[int, int], tuple[float, float, float]] = field(default_factory=dict)
+    in_flight: dict[tuple[int, int], tuple[float, float, float]] = field(default_factory=dict)
     in_flight_work: float = 0.0  # sum of the usual latencies of the attempts in flight
     expected_rate: float = 0.0  # answers a second expected of them: the sum of the inverse usual latencies
     overloaded_at: float = (
@@ -194,7 +194,7 @@
         self.random = Random(seed)
         self.classes = {request_class.name: request_class for request_class in settings.classes}
         self.shortest_aim = min(request_class.aim for request_class in settings.classes)
-        self.usual = {
+        self.usual_latency = {
             request_class.name: INITIAL_LATENCY_AIM_SHARE * request_class.aim
             for request_class in settings.classes
         }
@@ -210,9 +210,9 @@
         self.pace_measured_at = -math.inf
         self.last_timer_token = 0
         self.watch_failures = 0
-        # Pace of all members: a member with `pace_load` requests answers one within `pace_time` seconds.
+        # Pace of all members: a member with `pace_load` requests answers one within `pace_latency` seconds.
         self.pace_load = INITIAL_PACE_LOAD
-        self.pace_time = INITIAL_LATENCY_AIM_SHARE * self.shortest_aim
+        self.pace_latency = INITIAL_LATENCY_AIM_SHARE * self.shortest_aim
         self.actions: list[interface.Action] = []
         self.handlers: dict[type, Callable[..., None]] = {interface.Request: self.on_request}
         self.handlers |= {
@@ -221,7 +221,7 @@
             interface.Outcome: self.on_outcome,
         }
         self.handlers |= dict.fromkeys((interface.Abandoned, interface.StreamStarted), self.on_request_left)
-        self.handlers[interface.Ending] = self.on_ending
+        self.handlers[interface.Shutdown] = self.on_shutdown
         self.handlers[interface.Timer] = lambda event: self.timers.pop(event.token, lambda: None)()
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
@@ -245,13 +245,13 @@
         if event.request in self.requests:
             self.remove_request(self.requests[event.request], isinstance(event, interface.Abandoned))
 
-    def on_ending(self, event: interface.Ending) -> None:
+    def on_shutdown(self, event: interface.Shutdown) -> None:
         """Give every pending request its final answer by the end of this router, whatever its deadline."""
         for pending in self.requests.values():
-            pending.send_cutoff = min(pending.send_cutoff, event.by)
-            pending.hold_until = min(pending.hold_until, event.by)
+            pending.send_cutoff = min(pending.send_cutoff, event.deadline)
+            pending.hold_until = min(pending.hold_until, event.deadline)
             if pending.in_hold_ends:
-                heappush(pending.group.hold_ends, (event.by, pending.request.id))
+                heappush(pending.group.hold_ends, (event.deadline, pending.request.id))
 
     # ---- facts about members: each carries the time at which it was true, so an older one never undoes a
     # newer one
@@ -311,7 +311,7 @@
         member.state = state
         if state is State.GONE:
             member.group.members = [other for other in member.group.members if other is not member]
-            if not member.flying:
+            if not member.in_flight:
                 self.members.pop(member.name, None)
         elif member not in member.group.members:
             member.group.members.append(member)
@@ -320,8 +320,8 @@
         """Record the answer to a probe, and retry requests that were held for what it tells."""
         if (member := self.members.get(event.member)) is not None:
             if event.ok:
-                member.seen = self.now
-                member.reported = self.now
+                member.last_heard_at = self.now
+                member.last_report_at = self.now
                 member.connect_failed_at = -math.inf
             self.apply_report(member, event.report or interface.Report(), self.now - event.latency)
             self.retry_held_requests(member.group, MAX_MISSES_PER_EVENT, member)
@@ -379,9 +379,9 @@
         if (
             self.settings.may_probe
             and member.state is State.READY
-            and self.now - member.probed >= min_interval
+            and self.now - member.probed_at >= min_interval
         ):
-            member.probed = self.now
+            member.probed_at = self.now
             self.actions.append(interface.Probe(member.name))
 
     def on_outcome(self, event: interface.Outcome) -> None:
@@ -399,7 +399,7 @@
                 self.remove_request(pending)
             elif not pending.in_flight:
                 self.route(pending)
-        if member.state is State.GONE and not member.flying:
+        if member.state is State.GONE and not member.in_flight:
             self.members.pop(member.name, None)
         self.retry_held_requests(member.group, MAX_MISSES_PER_EVENT, member)
 
@@ -409,12 +409,12 @@
         Covers the sums over attempts in flight, health, load, role, position, measured latency and pace, and
         the position of the session's last write.
         """
-        known = member.flying.pop((event.request, event.attempt), None)
+        known = member.in_flight.pop((event.request, event.attempt), None)
         sent_at, usual_latency, load = known or (self.now - event.latency, math.inf, 1.0)
         member.in_flight_work -= usual_latency if known else 0.0
         member.expected_rate -= 1 / usual_latency
         member.lateness_offset -= max(0.0, sent_at - member.lateness_base) / usual_latency if known else 0.0
-        if not member.flying:  # rounding errors do not add up
+        if not member.in_flight:  # rounding errors do not add up
             member.in_flight_work = member.expected_rate = member.lateness_offset = 0.0
         status = event.status
         if status is Status.CONNECT_FAILED:
@@ -424,7 +424,7 @@
                 (member.last_answer_at - self.now) / (FAILURE_MEMORY_SHORTEST_AIMS * self.shortest_aim)
             )
             member.last_answer_at = self.now
-            member.seen = self.now
+            member.last_heard_at = self.now
             member.connect_failed_at = -math.inf
             member.lateness_base = self.now
             member.lateness_offset = 0.0
@@ -454,15 +454,17 @@
         if pending is not None and status is Status.OK:
             request_class = pending.request_class
             session = pending.request.session
-            self.update_answer_rate(member, self.usual[request_class.name])
+            self.update_answer_rate(member, self.usual_latency[request_class.name])
             if load > 0:
                 self.pace_measured_at = self.now
                 self.pace_load += SAMPLE_WEIGHT * (load - self.pace_load)
-                self.pace_time += SAMPLE_WEIGHT * (event.latency - self.pace_time)
-            previous_latency = self.usual[request_class.name]
+                self.pace_latency += SAMPLE_WEIGHT * (event.latency - self.pace_latency)
+            previous_latency = self.usual_latency[request_class.name]
             usual_latency = previous_latency + SAMPLE_WEIGHT * (event.latency - previous_latency)
             # the lower limit keeps a short pause of this router from looking like silence of a member
-            self.usual[request_class.name] = max(usual_latency, TICK_SHORTEST_AIMS * self.shortest_aim)
+            self.usual_latency[request_class.name] = max(
+                usual_latency, TICK_SHORTEST_AIMS * self.shortest_aim
+            )
             if request_class.need is Need.WRITE and session is not None and event.position is not None:
                 self.sessions[session] = max(event.position, self.sessions.pop(session, event.position))
                 if len(self.sessions) > MAX_SESSIONS:
@@ -487,7 +489,7 @@
         if not self.settings.reports_load and self.now - self.pace_measured_at >= pace_lifetime:
             # A router that sends nothing measures nothing: without this a past burst would block it for ever.
             self.pace_load = INITIAL_PACE_LOAD
-            self.pace_time = INITIAL_LATENCY_AIM_SHARE * self.shortest_aim
+            self.pace_latency = INITIAL_LATENCY_AIM_SHARE * self.shortest_aim
         is_primary_only = request_class.need in (Need.WRITE, Need.FRESH)
         self.primary_only_share += SAMPLE_WEIGHT * (is_primary_only - self.primary_only_share)
         min_position = -math.inf
@@ -502,7 +504,7 @@
         aim_end = self.now + request_class.aim + request_class.aim_stretch * (request.cost or 0.0)
         worth_end = request.deadline if request_class.late_worth > 0 else min(aim_end, request.deadline)
         send_cutoff = worth_end - min(
-            SEND_CUTOFF_LATENCIES * self.usual[request_class.name],
+            SEND_CUTOFF_LATENCIES * self.usual_latency[request_class.name],
             MAX_SEND_CUTOFF_SHARE * (worth_end - self.now),
         )
         member_order = self.random.sample(group.members, len(group.members))
@@ -525,7 +527,7 @@
 
     def is_long_read(self, request_class: interface.RequestClass) -> bool:
         """Whether reads of a class take much longer than others and are kept to the first replicas."""
-        usual = self.usual
+        usual = self.usual_latency
         return request_class.need is Need.ANY and (
             usual[request_class.name] > LONG_READ_LATENCY_FACTOR * min(usual.values())
         )
@@ -637,9 +639,9 @@
                 or self.expected_latency(candidates[0]) < UNCROWDED_AIM_SHARE * pending.request_class.aim
             ):
                 break  # an uncrowded first candidate is taken without a probe of another
-            healthy = self.healthy(member)
+            healthy = self.is_healthy(member)
             awaits_report = healthy and self.awaits_report(member, min_position)
-            if awaits_report and not (self.is_large_fleet and member.overloaded_at > member.reported):
+            if awaits_report and not (self.is_large_fleet and member.overloaded_at > member.last_report_at):
                 return None
             if (
                 healthy
@@ -656,7 +658,7 @@
             member
             for member in replicas
             if self.is_recent_enough(member, min_position)
-            and not (self.is_large_fleet and member.overloaded_at > member.reported)
+            and not (self.is_large_fleet and member.overloaded_at > member.last_report_at)
         ]
         untried_primary = primary if primary not in pending.tried else None
         # Requests that only the primary can serve come first, so reads use it only if it is uncrowded or if
@@ -680,7 +682,7 @@
 
     def current_load(self, member: Member) -> float:
         """Requests at a member: as reported, and at least those that this router has in flight there."""
-        return max(len(member.flying), member.load)
+        return max(len(member.in_flight), member.load)
 
     def awaits_report(self, member: Member, min_position: float = -math.inf) -> bool:
         """Whether to wait for a report of a member before sending to it; probes it if its report is too old.
@@ -695,12 +697,13 @@
         )
         lifetime_factor = LARGE_FLEET_REPORT_LIFETIME_FACTOR if self.is_large_fleet else 1.0
         lifetime = lifetime_factor * REPORT_LIFETIME_SHORTEST_AIMS * self.shortest_aim + catch_up_delay
-        last_heard_at = member.reported if self.is_large_fleet else member.seen
+        last_heard_at = member.last_report_at if self.is_large_fleet else member.last_heard_at
         overloaded_at = member.overloaded_at if self.is_large_fleet else -math.inf
         reported_since_probe = (
-            member.reported >= max(member.probed, overloaded_at) and self.now - member.probed < lifetime
+            member.last_report_at >= max(member.probed_at, overloaded_at)
+            and self.now - member.probed_at < lifetime
         )
-        reported_since_start = self.warm_share(member) >= 1 or member.reported > (member.started or 0.0)
+        reported_since_start = self.warm_share(member) >= 1 or member.last_report_at > (member.started or 0.0)
         # A large fleet trusts such a replica without a current report, so that it need not probe it.
         is_trusted = (
             self.is_large_fleet
@@ -715,8 +718,8 @@
             return False
         self.probe(member, lifetime)
         return (
-            member.reported < overloaded_at
-            or self.now - member.probed < TICK_SHORTEST_AIMS * self.shortest_aim
+            member.last_report_at < overloaded_at
+            or self.now - member.probed_at < TICK_SHORTEST_AIMS * self.shortest_aim
         )
 
     def required_position(self, pending: Pending, sent_at: float) -> float:
@@ -736,11 +739,11 @@
 
     def send(self, pending: Pending, member: Member) -> None:
         """Start the next attempt of a request, and check on it later if it is safe to move elsewhere."""
-        usual_latency = self.usual[pending.request_class.name]
+        usual_latency = self.usual_latency[pending.request_class.name]
         attempt = len(pending.tried)
         pending.in_flight[attempt] = member
-        member.load = max(member.load, len(member.flying)) + 1
-        member.flying[pending.request.id, attempt] = self.now, usual_latency, member.load
+        member.load = max(member.load, len(member.in_flight)) + 1
+        member.in_flight[pending.request.id, attempt] = self.now, usual_latency, member.load
         member.in_flight_work += usual_latency
         member.expected_rate += 1 / usual_latency
         member.lateness_base = self.now if member.lateness_base == -math.inf else member.lateness_base
@@ -759,11 +762,11 @@
         if (
             (member := pending.in_flight.get(attempt))
             and self.settings.may_cancel
-            and not self.healthy(member)
+            and not self.is_healthy(member)
         ):
             self.actions.append(interface.Cancel(pending.request.id, attempt))
 
-    def holds(self, now: float, request: int, attempt: int) -> bool:
+    def may_still_send(self, now: float, request: int, attempt: int) -> bool:
         """Whether an attempt that waited for its connection may still be sent at the clock time `now`.
 
         Checks rule 2 (no effect twice) and rule 5 (no stale read) again, as time has passed since the
@@ -837,7 +840,7 @@
     def maintain_held_requests(self, group: Group) -> None:
         """Check held requests: look for a primary, give up those that run out of time, retry some."""
         group.check_scheduled = False
-        if any(group.held.values()) and (group.primary is None or not self.healthy(group.primary)):
+        if any(group.held.values()) and (group.primary is None or not self.is_healthy(group.primary)):
             self.probe_all(group, 4 * TICK_SHORTEST_AIMS * self.shortest_aim)
         next_check_at = self.now + TICK_SHORTEST_AIMS * self.shortest_aim
         while group.hold_ends and group.hold_ends[0][0] <= next_check_at:
@@ -866,7 +869,9 @@
             and group.primary is not None
             and reporting_member is not group.primary
         )
-        for class_name in sorted(group.held, key=lambda name: -self.classes[name].worth / self.usual[name]):
+        for class_name in sorted(
+            group.held, key=lambda name: -self.classes[name].worth / self.usual_latency[name]
+        ):
             held = group.held[class_name]
             is_primary_only = self.classes[class_name].need in (Need.WRITE, Need.FRESH)
             misses = max_misses if is_replica_news and is_primary_only else 0
@@ -902,15 +907,15 @@
 
         It counts the capacity of a cold member as reduced, because cold members may be all that is left.
         """
-        return (self.current_load(member) + 1) * self.pace_time / self.pace_load / self.warm_share(member)
+        return (self.current_load(member) + 1) * self.pace_latency / self.pace_load / self.warm_share(member)
 
     def update_answer_rate(self, member: Member, answered_work: float = 0.0) -> float:
         """Decay a member's answer rate, add answered work (seconds of usual latency), and return the rate."""
         span = ANSWER_RATE_SPAN_SHORTEST_AIMS * self.shortest_aim
         elapsed = self.now - member.answer_rate_at
-        member.rate = member.rate * math.exp(-elapsed / span) + answered_work / span
+        member.answer_rate = member.answer_rate * math.exp(-elapsed / span) + answered_work / span
         member.answer_rate_at = self.now
-        return member.rate
+        return member.answer_rate
 
     def has_capacity(self, pending: Pending, member: Member) -> bool:
         """Whether a member is expected to answer one more request in time; otherwise the request waits here.
@@ -921,15 +926,17 @@
         """
         request_class = pending.request_class
         expected_latency = self.expected_latency(member)
-        if len(member.flying) < 2 or expected_latency < UNCROWDED_AIM_SHARE * request_class.aim:
-            best_worth_rate = max(other.worth / self.usual[other.name] for other in self.settings.classes)
-            worth_rate = request_class.worth / self.usual[request_class.name]
+        if len(member.in_flight) < 2 or expected_latency < UNCROWDED_AIM_SHARE * request_class.aim:
+            best_worth_rate = max(
+                other.worth / self.usual_latency[other.name] for other in self.settings.classes
+            )
+            worth_rate = request_class.worth / self.usual_latency[request_class.name]
             rank = worth_rate / best_worth_rate if best_worth_rate else 1.0
             target = (
                 LATENCY_TARGET_AIM_SHARE + (BEST_WORTH_TARGET_AIM_SHARE - LATENCY_TARGET_AIM_SHARE) * rank
             )
             return expected_latency <= target * request_class.aim
-        queued_work = self.usual[request_class.name] + member.in_flight_work
+        queued_work = self.usual_latency[request_class.name] + member.in_flight_work
         answer_rate = self.update_answer_rate(member)
         return queued_work <= LATENCY_TARGET_AIM_SHARE * request_class.aim * answer_rate
 
@@ -958,12 +965,12 @@
             or (member.group.primary is member and member.replication_lag > 0)
         )
 
-    def healthy(self, member: Member) -> bool:
+    def is_healthy(self, member: Member) -> bool:
         """Whether a member is responsive, answers probes in time and had no failure lately that counts."""
-        since_probe = self.now - member.probed
+        since_probe = self.now - member.probed_at
         # A probe without an answer: the member is down, cut off or far away.
         ignores_probe = (
-            member.probed > member.reported
+            member.probed_at > member.last_report_at
             and TICK_SHORTEST_AIMS * self.shortest_aim
             <= since_probe
             < REPORT_LIFETIME_SHORTEST_AIMS * self.shortest_aim
@@ -976,6 +983,6 @@
     def is_usable(self, pending: Pending, member: Member) -> bool:
         """Whether a member may get a request that nobody else could take.
 
-        Unlike `healthy` it ignores failed attempts, since errors alone do not bar a primary from writes.
+        Unlike `is_healthy` it ignores failed attempts, since errors alone do not bar a primary from writes.
         """
         return self.admits(pending, member) and not self.is_unresponsive(member)
--- a/banklift/decide/adopt.py
+++ b/banklift/decide/adopt.py
@@ -19,8 +19,10 @@
     balancer.classes = classes
     balancer.shortest_aim = min(request_class.aim for request_class in settings.classes)
     min_latency = TICK_SHORTEST_AIMS * balancer.shortest_aim
-    balancer.usual = {
-        name: max(min_latency, balancer.usual.get(name, INITIAL_LATENCY_AIM_SHARE * request_class.aim))
+    balancer.usual_latency = {
+        name: max(
+            min_latency, balancer.usual_latency.get(name, INITIAL_LATENCY_AIM_SHARE * request_class.aim)
+        )
         for name, request_class in classes.items()
     }
     for group in balancer.groups.values():
--- a/banklift/decide/queues.py
+++ b/banklift/decide/queues.py
@@ -56,7 +56,7 @@
         retry_after = self.max_pending / 2 / rate if rate > 0 else math.inf
         return min(self.max_retry_after, max(MIN_RETRY_AFTER, retry_after))
 
-    def adopt(self, max_pending: int, max_retry_after: float) -> None:
+    def set_limits(self, max_pending: int, max_retry_after: float) -> None:
         """Change the limits; requests that are pending stay."""
         self.max_pending = max_pending
         self.max_retry_after = max_retry_after
--- a/banklift/interface.py
+++ b/banklift/interface.py
@@ -242,10 +242,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ending:
+class Shutdown:
     """Event: the router shuts down; every pending request gets its final answer by then, whatever its deadline."""
 
-    by: float  # clock time
+    deadline: float  # clock time
 
 
 @dataclass(frozen=True, slots=True)
@@ -265,7 +265,7 @@
     token: int
 
 
-Event = Listing | Request | Outcome | StreamStarted | Abandoned | Ending | Probed | Timer
+Event = Listing | Request | Outcome | StreamStarted | Abandoned | Shutdown | Probed | Timer
 
 
 @dataclass(frozen=True, slots=True)
--- a/banklift/proxy/machine.py
+++ b/banklift/proxy/machine.py
@@ -218,7 +218,7 @@
             case ev.Adopt(settings, limits, plan):
                 adopt(self.balancer, settings)
                 self.limits = limits
-                self.queues.adopt(limits.queue, settings.max_retry_after)
+                self.queues.set_limits(limits.queue, settings.max_retry_after)
                 self.front.adopt(plan)
             case ev.Roster(members, kind):
                 self._roster(members, kind)
@@ -234,7 +234,7 @@
                     attempt.expires_at = end
                     key = pending.id, attempt.number
                     attempt.timers.append(self.at(end, lambda key=key: self._attempt_expired(*key)))  # type: ignore[misc]
-        self._notify_balancer(io.Ending(end))
+        self._notify_balancer(io.Shutdown(end))
         self.front.drain()
 
     @property
@@ -483,7 +483,7 @@
         while queue:
             attempt = queue.popitem(last=False)[0]
             self._count_waiting(node, -1)
-            if self.balancer.holds(self.now, attempt.open.id, attempt.number):
+            if self.balancer.may_still_send(self.now, attempt.open.id, attempt.number):
                 return attempt
             self._end_attempt(attempt, Status.MOOT)
         return None
--- a/banklift/reasons.py
+++ b/banklift/reasons.py
@@ -37,7 +37,9 @@
     ]
     if not candidates:
         return "nobody known recent enough"
-    candidates = [member for member in candidates if member not in pending.tried and balancer.healthy(member)]
+    candidates = [
+        member for member in candidates if member not in pending.tried and balancer.is_healthy(member)
+    ]
     if not candidates:
         return "no answers"
     return "waiting" if any(balancer.has_capacity(pending, member) for member in candidates) else "crowded"
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -212,7 +212,7 @@
         """Check that the router's attempts in flight are those that members hold, and that no ended request is kept."""
         for name, node in self.nodes.items():
             member = self.machine.balancer.members.get(name)
-            assert (len(member.flying) if member is not None else 0) == node.open, name
+            assert (len(member.in_flight) if member is not None else 0) == node.open, name
         assert len(self.machine.flying) == sum(node.open for node in self.nodes.values())
         if not self.machine.flying:
             assert not self.machine.open and not self.front.pending and not self.front.pending_ids
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -597,12 +597,12 @@
         for member_state in driver.balancer.members.values():
             by_loop = sum(
                 (driver.now - max(sent, member_state.last_answer_at)) / usual
-                for sent, usual, _ in member_state.flying.values()
+                for sent, usual, _ in member_state.in_flight.values()
             )
             by_sums = (
                 (driver.now - member_state.lateness_base) * member_state.expected_rate
                 - member_state.lateness_offset
-                if member_state.flying
+                if member_state.in_flight
                 else 0.0
             )
             assert by_sums == pytest.approx(by_loop, abs=1e-6)
@@ -668,7 +668,7 @@
     driver = Driver()
     answered(driver, "r1", count, gap)
     driver.handle(Outcome(0, 0, "r1", Status.ERROR, False, 0.01))
-    assert driver.balancer.healthy(driver.balancer.members["r1"]) is not unhealthy
+    assert driver.balancer.is_healthy(driver.balancer.members["r1"]) is not unhealthy
 
 
 def test_a_second_failure_soon_after_makes_a_member_unhealthy() -> None:
@@ -677,13 +677,13 @@
     driver.handle(Outcome(0, 0, "r1", Status.ERROR, False, 0.01))
     answered(driver, "r1", 3, 0.02)
     driver.handle(Outcome(0, 0, "r1", Status.ERROR, False, 0.01))
-    assert not driver.balancer.healthy(driver.balancer.members["r1"])
+    assert not driver.balancer.is_healthy(driver.balancer.members["r1"])
 
 
 def test_a_broken_connection_leaves_a_member_healthy_and_a_refused_one_does_not() -> None:
     """Idle connections are reset by the network; if the member is gone, the next connect fails at once."""
     driver = Driver()
     driver.handle(Outcome(0, 0, "r1", Status.RESET, False, 0.01))
-    assert driver.balancer.healthy(driver.balancer.members["r1"])
+    assert driver.balancer.is_healthy(driver.balancer.members["r1"])
     driver.handle(Outcome(0, 0, "r1", Status.CONNECT_FAILED, False, 0.01))
-    assert not driver.balancer.healthy(driver.balancer.members["r1"])
+    assert not driver.balancer.is_healthy(driver.balancer.members["r1"])
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -427,7 +427,7 @@
             break
         driver.now += 0.45
         driver.handle(Outcome(driver.last_id, 0, sent[0].member, Status.OK, True, 0.45, position=driver.now))
-    assert not sent and not any(member.flying for member in driver.balancer.members.values())
+    assert not sent and not any(member.in_flight for member in driver.balancer.members.values())
     driver.run(0.5)
     assert not of(Send, driver.request("loose"))  # the members may still be as full as they were
     driver.run(FAILURE_MEMORY_SHORTEST_AIMS * 0.5)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -621,7 +621,10 @@
     node.usage = lambda: frames.error("57P03", "asked too often")  # type: ignore[method-assign]
     probe(site, "r1")
     member = site.machine.balancer.members["r1"]
-    assert member.reported == member.seen > member.probed and site.machine.balancer.healthy(member)
+    assert (
+        member.last_report_at == member.last_heard_at > member.probed_at
+        and site.machine.balancer.is_healthy(member)
+    )
     assert known.prober is None and len(known.idle[0]) == 1  # the link stays usable for requests
 
 
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -374,7 +374,7 @@
     one, two = Caller(first), Caller(second)
     for _ in range(20):
         assert value(one.ask(first.write("k", "01"))) == b"\x01"
-    assert second.machine.balancer.usual["pay"] == 0.25 and not second.machine.open
+    assert second.machine.balancer.usual_latency["pay"] == 0.25 and not second.machine.open
     assert value(two.ask(second.write("k", "02", kind="pay"))) == b"\x02"
     assert (
         code(two.ask(second.write("k", "02"))) == "22023"
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -234,7 +234,7 @@
     site.nodes["p"].delay = 5.0
     balancer = site.machine.balancer
     # a few requests in flight count as many
-    balancer.members["p"].rate, balancer.pace_time = 0.0, 0.01 * balancer.pace_load
+    balancer.members["p"].answer_rate, balancer.pace_latency = 0.0, 0.01 * balancer.pace_load
     before = statements(site)
     all_send()
     site.run(0.02)
