--- a/banklift/decide/offsets.py
+++ b/banklift/decide/offsets.py
@@ -10,7 +10,7 @@
 a lower or equal offset) says nothing and is dropped, so answers may arrive out of order.
 
 Histories. A promoted replica begins a new history, and names the old one and the first offset that the two do not share
-(`master_replid2`, `second_repl_offset`). `Track` keeps the lineage of histories:
+(`master_replid2`, `second_repl_offset`). `ReplicationHistory` keeps the lineage of histories:
 
 - A member of an older history counts up to the fork and no further; what it has beyond was never part of the lineage.
 - A member that still calls itself primary of an older history is superseded. It is no primary, however late it answers.
@@ -18,14 +18,15 @@
 
 `ROLE` does not tell the history. Its offset is read in the history of the member's last `INFO replication`, as long as
 role and source are the same and the offset did not fall. Otherwise it proves nothing, and the member has to be asked
-again (`Fact.unsure`). A member whose offset fell, or whose history left the lineage, has other data than before, after
-a restart or a full copy: `Fact.reborn` is set, and nothing proven of it is valid any more.
+again (`ProvenFacts.history_unknown`). A member whose offset fell, or whose history left the lineage, has
+other data than before, after a restart or a full copy: `ProvenFacts.data_replaced` is set, and nothing proven of it
+is valid any more.
 
 A sample of an older history is valid for the new one only up to the last time at which the new primary is known to have
 been a replica. After that both may have taken writes, neither knowing of the other.
 
 A session's mark may name a history that no member has reported yet: the router of its writer has met a new primary, and
-this router has not. Times that the old lineage proves are then not valid for that session (`meet`, `covers`).
+this router has not. Times that the old lineage proves are then not valid for that session (`note_history`, `covers`).
 
 A primary whose offset does not advance is idle or hangs. It hangs if a write that this router sent to it earlier is
 still unanswered. Its position is then the time of that write, not the present.
@@ -47,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class ReplicationStatus:
     """A member's replication role and offset, as it reports them."""
 
     primary: bool
@@ -61,28 +62,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fact:
+class ProvenFacts:
     """What one answer of a member proves."""
 
     primary: bool | None = None  # None: unknown
     position: float | None = None  # None: nothing is proven
-    reborn: bool = False  # it has other data than before, after a restart or a full copy
-    unsure: bool = False  # its history is unknown and has to be asked for
+    data_replaced: bool = False  # it has other data than before, after a restart or a full copy
+    history_unknown: bool = False  # its history is unknown and has to be asked for
     offset: int | None = None  # in the newest history; None: not in it
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class SessionMark:
     """Mark of what a session has seen: all commits up to `at`, and a history up to an offset."""
 
     at: float
     replid: str | None = None  # None: no history is known
     offset: int = -1
-    also: tuple[Seen, ...] = ()  # marks of the other histories that the session has met
+    others: tuple[SessionMark, ...] = ()  # marks of the other histories that the session has met
 
-    def parts(self) -> tuple[Seen, ...]:
+    def parts(self) -> tuple[SessionMark, ...]:
         """Return one mark for each history."""
-        return (Seen(self.at, self.replid, self.offset), *self.also)
+        return (SessionMark(self.at, self.replid, self.offset), *self.others)
 
 
 def drop_oldest_histories(histories: dict[str, None] | dict[str, float]) -> None:
@@ -103,7 +104,7 @@
     replica_at: float  # latest time of a question to which it answered that it is a replica
 
 
-class Track:
+class ReplicationHistory:
     """The replication history of one group, as one router knows it. Times are seconds on the router's clock."""
 
     def __init__(self) -> None:
@@ -112,32 +113,32 @@
         self.sample_offsets: list[int] = []
         self.lineage: dict[str, int] = {}  # last offset that counts in each history of the lineage
         self.replid: str | None = None  # the newest history
-        self.owner: str | None = None  # name of the member that is its primary
+        self.primary_member: str | None = None  # name of the member that is its primary
         self.owner_heard_at = -math.inf
         self.offset_advanced_at = -math.inf  # when the primary was asked for the newest offset first
-        self.places: dict[str, _LastAnswer] = {}  # by member
+        self.last_answers: dict[str, _LastAnswer] = {}  # by member
         self.former_histories: dict[str, None] = {}  # histories that an unrelated one has replaced
         # Histories that marks name and no member has reported, with the time of the first such mark.
         self.unknown_histories: dict[str, float] = {}
         self.last_learnt_at = -math.inf
 
-    def learn(
+    def record_answer(
         self,
         member: str,
-        status: Standing,
+        status: ReplicationStatus,
         asked_at: float,
         now: float,
         unanswered_since: float | None = None,
-    ) -> Fact:
+    ) -> ProvenFacts:
         """Take in one answer to `INFO replication` or `ROLE`, and return what it proves.
 
         `asked_at` is when the member was asked, `now` when its answer came, and `unanswered_since` when the oldest
         write was sent that this member has not answered yet.
         """
         self.last_learnt_at = now
-        last_answer = self.places.get(member)
+        last_answer = self.last_answers.get(member)
         replid = status.replid
-        reborn = False
+        data_replaced = False
         if replid is None:  # an answer to ROLE
             if (
                 last_answer is None
@@ -145,18 +146,18 @@
                 or last_answer.source != status.source
                 or (status.offset < last_answer.offset and asked_at >= last_answer.answered_at)
             ):
-                return Fact(unsure=True)
+                return ProvenFacts(history_unknown=True)
             replid = last_answer.replid
         elif last_answer is not None:
             offset_fell = status.offset < last_answer.offset and asked_at >= last_answer.answered_at
-            reborn = offset_fell or (
+            data_replaced = offset_fell or (
                 last_answer.replid in self.lineage
                 and replid not in self.lineage
                 and status.replid2 != last_answer.replid
             )
         if status.replid is not None or last_answer is None or status.offset >= last_answer.offset:
             replica_at = last_answer.replica_at if last_answer is not None else -math.inf
-            self.places[member] = _LastAnswer(
+            self.last_answers[member] = _LastAnswer(
                 status.primary,
                 status.source,
                 replid,
@@ -167,45 +168,47 @@
         if status.primary:
             fact = self._learn_primary(member, status, replid, asked_at, now, unanswered_since)
         else:
-            if member == self.owner:
-                self.owner = None
-            fact = Fact(
+            if member == self.primary_member:
+                self.primary_member = None
+            fact = ProvenFacts(
                 False, self.position(replid, status.offset), offset=self.lineage_offset(replid, status.offset)
             )
-        return Fact(fact.primary, fact.position, reborn, fact.unsure, fact.offset)
+        return ProvenFacts(fact.primary, fact.position, data_replaced, fact.history_unknown, fact.offset)
 
     def _learn_primary(
         self,
         member: str,
-        status: Standing,
+        status: ReplicationStatus,
         replid: str,
         asked_at: float,
         now: float,
         unanswered_since: float | None,
-    ) -> Fact:
+    ) -> ProvenFacts:
         """Take in the answer of a member that says it is a primary, and return what it proves."""
         if replid != self.replid:
             if replid in self.lineage and self.replid is not None:
-                return Fact(
+                return ProvenFacts(
                     False,
                     self.position(replid, status.offset),  # its history is superseded
                     offset=self.lineage_offset(replid, status.offset),
                 )
-            if not self._succeed(member, status, replid, now):
-                return Fact(False)  # its lineage is another one, and the known primary is alive
-        elif self.owner not in (None, member) and now - self.owner_heard_at < PRIMARY_SILENCE_TIMEOUT:
+            if not self._adopt_history(member, status, replid, now):
+                return ProvenFacts(False)  # its lineage is another one, and the known primary is alive
+        elif (
+            self.primary_member not in (None, member) and now - self.owner_heard_at < PRIMARY_SILENCE_TIMEOUT
+        ):
             pass  # two members claim the same history: it was handed over, and the later answer counts
         newest_offset = self.sample_offsets[-1] if self.sample_offsets else -1
         if status.offset > newest_offset:
             self.offset_advanced_at = asked_at
-        self.owner = member
+        self.primary_member = member
         self.owner_heard_at = now
         self._add_sample(asked_at, status.offset)
         if unanswered_since is not None and unanswered_since < asked_at and status.offset <= newest_offset:
-            return Fact(True, max(unanswered_since, self.offset_advanced_at), offset=status.offset)
-        return Fact(True, asked_at, offset=status.offset)
+            return ProvenFacts(True, max(unanswered_since, self.offset_advanced_at), offset=status.offset)
+        return ProvenFacts(True, asked_at, offset=status.offset)
 
-    def _succeed(self, member: str, status: Standing, replid: str, now: float) -> bool:
+    def _adopt_history(self, member: str, status: ReplicationStatus, replid: str, now: float) -> bool:
         """Make the history that a primary reports the newest one, if that is right; return whether it was done.
 
         It is right if the history branched off from the newest. It also is if the history is unrelated to the lineage
@@ -218,7 +221,7 @@
             self.sample_offsets = [min(offset, fork) for offset in self.sample_offsets]
             # The old primary may have taken writes without knowing of the new one, so its samples are valid only up to
             # the time at which the new one was still a replica.
-            last_answer = self.places.get(member)
+            last_answer = self.last_answers.get(member)
             valid_count = bisect_right(
                 self.sample_times, last_answer.replica_at if last_answer is not None else -math.inf
             )
@@ -227,7 +230,10 @@
         elif self.replid is not None and status.replid2 in self.lineage:
             return False  # it branched off from an older history, beside the newest
         else:
-            if self.owner not in (None, member) and now - self.owner_heard_at < PRIMARY_SILENCE_TIMEOUT:
+            if (
+                self.primary_member not in (None, member)
+                and now - self.owner_heard_at < PRIMARY_SILENCE_TIMEOUT
+            ):
                 return False
             self.former_histories.update(dict.fromkeys(self.lineage))
             drop_oldest_histories(self.former_histories)
@@ -278,9 +284,9 @@
         index = bisect_right(self.sample_offsets, lineage_offset)
         return self.sample_times[index - 1] if index else None
 
-    def place(self, member: str) -> tuple[float | None, int | None]:
+    def proven_position(self, member: str) -> tuple[float | None, int | None]:
         """Position and lineage offset that a member's last answer proves by the samples known now."""
-        last_answer = self.places.get(member)
+        last_answer = self.last_answers.get(member)
         if last_answer is None:
             return None, None
         return (
@@ -288,23 +294,23 @@
             self.lineage_offset(last_answer.replid, last_answer.offset),
         )
 
-    def seen(self, member: str, offset: int | None, at: float) -> Seen:
+    def make_mark(self, member: str, offset: int | None, at: float) -> SessionMark:
         """Return the mark for a write that a member acknowledged at `at`, or for a read that it served then.
 
         `offset` is the member's offset after the write or before the read.
         """
-        last_answer = self.places.get(member)
+        last_answer = self.last_answers.get(member)
         if offset is None or last_answer is None or last_answer.replid != self.replid:
-            return Seen(at)
-        return Seen(at, last_answer.replid, offset)
+            return SessionMark(at)
+        return SessionMark(at, last_answer.replid, offset)
 
-    def join(self, one: Seen, other: Seen, now: float) -> Seen:
+    def merge_marks(self, one: SessionMark, other: SessionMark, now: float) -> SessionMark:
         """Return a mark that covers both.
 
         A mark in the newest history covers what marks in older histories of the lineage cover, so these are left out.
         A mark of too many histories becomes one of the present, which covers them all.
         """
-        parts: dict[str | None, Seen] = {}
+        parts: dict[str | None, SessionMark] = {}
         for mark in (*one.parts(), *other.parts()):
             known = parts.get(mark.replid)
             if known is None or (mark.offset, mark.at) > (known.offset, known.at):
@@ -317,21 +323,21 @@
                 or (replid not in self.lineage and replid not in self.former_histories)
             }
         if len(parts) > MAX_MARK_HISTORIES:
-            return Seen(now)
+            return SessionMark(now)
         first, *rest = parts.values()
-        return Seen(first.at, first.replid, first.offset, tuple(rest))
+        return SessionMark(first.at, first.replid, first.offset, tuple(rest))
 
-    def floor(self, mark: Seen, now: float) -> float:
+    def required_position(self, mark: SessionMark, now: float) -> float:
         """Position at which a member has all that a mark covers, as far as known; `now` if that is unknown."""
-        if mark.also:
-            return max(self.floor(part, now) for part in mark.parts())
+        if mark.others:
+            return max(self.required_position(part, now) for part in mark.parts())
         lineage_offset = self.lineage_offset(mark.replid, mark.offset) if mark.replid is not None else None
         if lineage_offset is None:
             return min(mark.at, now)
         index = bisect_right(self.sample_offsets, lineage_offset - 1)
         return min(mark.at, self.sample_times[index] if index < len(self.sample_times) else now)
 
-    def meet(self, replid: str, now: float) -> bool:
+    def note_history(self, replid: str, now: float) -> bool:
         """Record that a session has a mark of this history; return whether the history may be newer than all known.
 
         That is so if no member has reported it. For `PRIMARY_SILENCE_TIMEOUT` no time then proves that a member has
@@ -344,9 +350,9 @@
         drop_oldest_histories(self.unknown_histories)
         return now - self.unknown_histories[replid] < PRIMARY_SILENCE_TIMEOUT
 
-    def covers(self, fact: Fact, mark: Seen) -> bool:
+    def covers(self, fact: ProvenFacts, mark: SessionMark) -> bool:
         """Whether a member has all that a mark covers, by what `fact` proves of the member."""
-        if mark.also:
+        if mark.others:
             return all(self.covers(fact, part) for part in mark.parts())
         unknown_since = (
             self.unknown_histories.get(mark.replid or "", -math.inf)
@@ -364,13 +370,13 @@
         limit = self.lineage.get(mark.replid)
         return limit is not None and mark.offset <= limit and fact.offset >= mark.offset
 
-    def holds(self, member: str, mark: Seen) -> bool:
+    def member_covers(self, member: str, mark: SessionMark) -> bool:
         """Whether a member's last answer proves that it has all that a mark covers."""
-        position, offset = self.place(member)
-        return self.covers(Fact(False, position, offset=offset), mark)
+        position, offset = self.proven_position(member)
+        return self.covers(ProvenFacts(False, position, offset=offset), mark)
 
     def forget(self, member: str) -> None:
         """Forget what a member said last, and that it is the primary."""
-        self.places.pop(member, None)
-        if self.owner == member:
-            self.owner = None
+        self.last_answers.pop(member, None)
+        if self.primary_member == member:
+            self.primary_member = None
--- a/banklift/proxy/wire.py
+++ b/banklift/proxy/wire.py
@@ -15,7 +15,7 @@
 from enum import IntEnum
 from typing import TYPE_CHECKING, Protocol
 
-from banklift.decide.offsets import Seen, Standing
+from banklift.decide.offsets import ReplicationStatus, SessionMark
 from banklift.interface import Report, RequestClass, Status
 
 if TYPE_CHECKING:
@@ -55,8 +55,9 @@
 
     status: Status
     answer: bytes = b""  # for the client
-    standing: Standing | None = None  # the answer to the status query
-    after: Standing | None = None  # of a read with a second status query behind it: that query's answer
+    replication_status: ReplicationStatus | None = None  # the answer to the status query
+    # of a read with a second status query behind it: that query's answer
+    after: ReplicationStatus | None = None
     told: Told | None = None  # in protocols whose answers carry the member's status unasked
     closes: bool = False  # the link can't be used again
 
@@ -192,7 +193,7 @@
     kind: RequestClass
     group: int
     exchange: Exchange
-    seen: Seen | None = None  # for a session's read: the writes and reads that it must reflect
+    seen: SessionMark | None = None  # for a session's read: the writes and reads that it must reflect
     current: bool = (
         False  # for a session's read without known history: it must see all commits before its arrival
     )
@@ -212,7 +213,7 @@
     """Final answer: a member's answer."""
 
     answer: bytes
-    seen: Seen | None = None  # what the session has seen with this answer; None: nothing to remember
+    seen: SessionMark | None = None  # what the session has seen with this answer; None: nothing to remember
 
 
 @dataclass(frozen=True, slots=True)
--- a/banklift/resp/front.py
+++ b/banklift/resp/front.py
@@ -32,7 +32,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from banklift.decide.offsets import Seen
+from banklift.decide.offsets import SessionMark
 from banklift.interface import Need, RequestClass
 from banklift.proxy import events as ev
 from banklift.proxy.machine import Machine
@@ -123,7 +123,7 @@
     # command, arguments, class and group of each command queued by MULTI; None outside a transaction
     transaction: list[tuple[Command, list[bytes], RequestClass, int]] | None = None
     transaction_failed: bool = False  # a command of the transaction was refused, so EXEC aborts
-    marks: dict[int, Seen] = field(default_factory=dict)  # by group: what the session has seen
+    marks: dict[int, SessionMark] = field(default_factory=dict)  # by group: what the session has seen
     queues: dict[int, GroupQueue] = field(default_factory=dict)  # by group
     sent_token: bool = False  # the client hands over its marks (BANKLIFT.SEEN) when it changes router
     paused: bool = False  # the connection is not being read
@@ -146,7 +146,7 @@
         self.clients: dict[int, Client] = {}
         self.places: dict[int, tuple[Client, Place]] = {}  # by the core's id of the request
         # marks by group of each named session, by user and name, least recently used first
-        self.named_sessions: OrderedDict[tuple[str, str], dict[int, Seen]] = OrderedDict()
+        self.named_sessions: OrderedDict[tuple[str, str], dict[int, SessionMark]] = OrderedDict()
         # once marks of a named session were dropped, a named session without marks may have had some
         self.marks_evicted = False
         # by user; if there are none, no login is needed
@@ -492,12 +492,14 @@
         submitted_id = self.core.submit(request)
         assert submitted_id == request_id
 
-    def _merge_mark(self, marks: dict[int, Seen], group: int, seen: Seen) -> None:
+    def _merge_mark(self, marks: dict[int, SessionMark], group: int, seen: SessionMark) -> None:
         """Adds what was seen in a group to the marks."""
         current = marks.get(group)
-        marks[group] = seen if current is None else self._tracks[group].join(current, seen, self.core.now)
+        marks[group] = (
+            seen if current is None else self._tracks[group].merge_marks(current, seen, self.core.now)
+        )
 
-    def _session_marks(self, state: Client) -> dict[int, Seen]:
+    def _session_marks(self, state: Client) -> dict[int, SessionMark]:
         """The session's marks by group: the connection's own, or those shared under the name that the client set."""
         if not state.name:
             return state.marks
@@ -759,20 +761,26 @@
 
     def _restore_marks(self, state: Client, place: Place, token: bytes) -> None:
         """BANKLIFT.SEEN: adds the marks of a token, which another router gave, to the session's."""
-        marks: dict[int, Seen] = {}
+        marks: dict[int, SessionMark] = {}
         try:
             for part in token.decode().split(",") if token != b"-" else []:
                 name, _, position = part.partition("=")
                 replid, _, offset = position.partition(":")
                 group = self.group_names.index(name)
-                seen = Seen(self.core.now) if position == "?" else Seen(self.core.now, replid, int(offset))
+                seen = (
+                    SessionMark(self.core.now)
+                    if position == "?"
+                    else SessionMark(self.core.now, replid, int(offset))
+                )
                 self._merge_mark(marks, group, seen)
         except ValueError:
             return self._reply(state, place, Error("ERR not a token of BANKLIFT.TOKEN"))
         state.sent_token = True
         for group, mark in marks.items():
             unknown_histories = [
-                self._tracks[group].meet(seen.replid, self.core.now) for seen in mark.parts() if seen.replid
+                self._tracks[group].note_history(seen.replid, self.core.now)
+                for seen in mark.parts()
+                if seen.replid
             ]
             if any(unknown_histories):
                 # a primary that this router has not heard of may have begun a new history
@@ -802,7 +810,12 @@
             counts = []
             for group, seen in self._session_marks(state).items():
                 track = self._tracks[group]
-                counts.append(sum(name != track.owner and track.holds(name, seen) for name in track.places))
+                counts.append(
+                    sum(
+                        name != track.primary_member and track.member_covers(name, seen)
+                        for name in track.last_answers
+                    )
+                )
             count = min(counts, default=0)
             if count >= wanted or self.core.now >= deadline or not counts:
                 return count
--- a/banklift/resp/proofs.py
+++ b/banklift/resp/proofs.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass
 
 from banklift import interface as io
-from banklift.decide.offsets import Fact, Seen, Standing, Track
+from banklift.decide.offsets import ProvenFacts, ReplicationHistory, ReplicationStatus, SessionMark
 from banklift.interface import Need, State, Status
 from banklift.proxy.machine import Attempt, Machine, Node
 from banklift.proxy.wire import Ask, Judged, Question, Result, Served, Told
@@ -43,14 +43,14 @@
 
 
 class RespProofs:
-    """Keeps a `Track` of each group's replication history and judges answers by it.
+    """Keeps one `ReplicationHistory` for each group and judges answers by it.
 
     `core`: the router's machine. `groups`: how many groups there are. Times are seconds on the router's clock.
     """
 
     def __init__(self, core: Machine, groups: int) -> None:
         self.core = core
-        self.tracks = [Track() for _ in range(groups)]
+        self.tracks = [ReplicationHistory() for _ in range(groups)]
         # reports that wait for a sample, by group: member, time asked and load
         self.delayed_reports: dict[int, list[tuple[Node, float, float]]] = {}
 
@@ -67,7 +67,11 @@
             if request.current:
                 return FLOOR_MARGIN_SECONDS
             if request.seen is not None:
-                return now + FLOOR_MARGIN_SECONDS - self.tracks[request.group].floor(request.seen, now)
+                return (
+                    now
+                    + FLOOR_MARGIN_SECONDS
+                    - self.tracks[request.group].required_position(request.seen, now)
+                )
         return None
 
     def question(self, attempt: Attempt, fresh: bool) -> Question:
@@ -88,14 +92,14 @@
         node = attempt.node
         now = self.core.now
         status = result.status
-        fact = Fact()
+        fact = ProvenFacts()
         writes = request.kind.need is Need.WRITE
         if writes:
             node.lore.unanswered_since = None
-        if result.standing is not None:
-            fact = self.learn(node, result.standing, attempt.asked, None)
+        if result.replication_status is not None:
+            fact = self.learn(node, result.replication_status, attempt.asked, None)
         if status is Status.MISS and writes and fact.primary is None:
-            fact = Fact(primary=False)  # -READONLY means that the member is no primary
+            fact = ProvenFacts(primary=False)  # -READONLY means that the member is no primary
         served = None
         if status is Status.OK:
             if not writes and not self.proves(attempt, fact):
@@ -103,22 +107,22 @@
             elif not attempt.open.final:
                 seen = None
                 if writes:
-                    seen = self.tracks[node.group].seen(node.name, fact.offset, now)
+                    seen = self.tracks[node.group].make_mark(node.name, fact.offset, now)
                 elif request.kind.need in MARKING_READS:
                     # what the read showed is no newer than the status after it
                     after = result.after and self.learn(node, result.after, attempt.asked, None)
-                    seen = self.tracks[node.group].seen(node.name, after.offset if after else None, now)
+                    seen = self.tracks[node.group].make_mark(node.name, after.offset if after else None, now)
                 served = Served(result.answer, seen)
-        load = result.standing.load if result.standing is not None else None
+        load = result.replication_status.load if result.replication_status is not None else None
         return Judged(
             status, Told(fact.primary, None, io.Report(position=fact.position, in_flight=load)), served
         )
 
     def cut(self, attempt: Attempt, result: Result) -> Served:
         """The answer of a link that broke before the status came: its mark has a time and no offset."""
-        return Served(result.answer, Seen(self.core.now))
+        return Served(result.answer, SessionMark(self.core.now))
 
-    def proves(self, attempt: Attempt, fact: Fact) -> bool:
+    def proves(self, attempt: Attempt, fact: ProvenFacts) -> bool:
         """Whether the status that the member reported on the same link allows passing this read on."""
         request = attempt.open.ask
         match request.kind.need:
@@ -132,13 +136,16 @@
                 floor = attempt.open.arrived
         return fact.position is not None and fact.position >= floor
 
-    def learn(self, node: Node, reported: Standing, asked: float, waiting: float | None) -> Fact:
+    def learn(
+        self, node: Node, reported: ReplicationStatus, asked: float, waiting: float | None
+    ) -> ProvenFacts:
         """Takes in a member's replication status, asked for at `asked`, and acts on what it implies.
 
-        `waiting`: when the oldest write was sent that the member has not answered (see `Track.learn`).
+        `waiting`: when the oldest write was sent that the member has not answered (see `unanswered_since`
+        of `ReplicationHistory.record_answer`).
         """
-        fact = self.tracks[node.group].learn(node.name, reported, asked, self.core.now, waiting)
-        if fact.unsure:
+        fact = self.tracks[node.group].record_answer(node.name, reported, asked, self.core.now, waiting)
+        if fact.history_unknown:
             node.lore.doubt = True
             # its role may have changed, so ask for its history
             if node.state is State.READY and not node.probes:
@@ -146,7 +153,7 @@
                 self.core.probe(node)
         elif reported.replid is not None:
             node.lore.doubt = False
-        if fact.reborn:
+        if fact.data_replaced:
             self.core.reborn(node)
         return fact
 
@@ -156,7 +163,7 @@
         reported = parse_replication_status(attempt.frames[0])
         if reported is None or attempt.open.ask.kind.need is Need.WRITE:
             return
-        was_primary = self.tracks[node.group].owner == node.name
+        was_primary = self.tracks[node.group].primary_member == node.name
         fact = self.learn(node, reported, attempt.asked, None)
         if fact.primary is not None and fact.primary != was_primary:
             self._report(node, attempt.asked, fact.primary, fact.position, reported.load)
@@ -207,13 +214,13 @@
 
     def _primary_of(self, node: Node) -> Node | None:
         """The member that leads the group of this one, if it is known."""
-        name = self.tracks[node.group].owner
+        name = self.tracks[node.group].primary_member
         return self.core.nodes.get(name) if name is not None else None
 
     def _send_delayed_reports(self, group: int) -> None:
         """Sends the delayed reports of a group, as the sample has come or won't come."""
         for node, asked, load in self.delayed_reports.pop(group, ()):
-            position, _ = self.tracks[group].place(node.name)
+            position, _ = self.tracks[group].proven_position(node.name)
             self._report(node, asked, False, position, load)
 
     def _report(
--- a/banklift/resp/replies.py
+++ b/banklift/resp/replies.py
@@ -15,7 +15,7 @@
 
 from __future__ import annotations
 
-from banklift.decide.offsets import Standing
+from banklift.decide.offsets import ReplicationStatus
 from banklift.interface import Status
 from banklift.resp.frames import ProtocolError, decode
 
@@ -36,26 +36,26 @@
     return Status.OK
 
 
-def replication_status_from_role(frame: bytes) -> Standing | None:
+def replication_status_from_role(frame: bytes) -> ReplicationStatus | None:
     """Reads the answer to `ROLE`; None if it doesn't have that form.
 
     Errors: `ProtocolError`; `ValueError` if the offset of a primary is no number.
     """
     if frame.startswith(b"*3\r\n$6\r\nmaster\r\n:"):  # the most frequent answer, read without building values
         end = frame.find(b"\r\n", 17)
-        return Standing(True, int(frame[17:end]))
+        return ReplicationStatus(True, int(frame[17:end]))
     value = decode(frame)
     if not isinstance(value, list) or len(value) < 2:
         return None
     if value[0] == b"master" and isinstance(value[1], int):
-        return Standing(True, value[1])
+        return ReplicationStatus(True, value[1])
     if value[0] == b"slave" and len(value) >= 5 and isinstance(value[4], int):
         source = f"{value[1].decode()}:{value[2]}"
-        return Standing(False, value[4], source, value[3] == b"connected")
+        return ReplicationStatus(False, value[4], source, value[3] == b"connected")
     return None
 
 
-def replication_status_from_info(frame: bytes) -> Standing | None:
+def replication_status_from_info(frame: bytes) -> ReplicationStatus | None:
     """Reads the answer to `INFO replication`; None if it doesn't have that form.
 
     Errors: `ProtocolError`; `ValueError` if its text is not UTF-8.
@@ -69,7 +69,7 @@
         primary = fields["role"] == "master"
         offset = int(fields["master_repl_offset"] if primary else fields["slave_repl_offset"])
         load = fields.get("commands_in_flight")
-        return Standing(
+        return ReplicationStatus(
             primary,
             offset,
             "" if primary else f"{fields['master_host']}:{fields['master_port']}",
@@ -83,7 +83,7 @@
         return None
 
 
-def parse_replication_status(frame: bytes) -> Standing | None:
+def parse_replication_status(frame: bytes) -> ReplicationStatus | None:
     """Reads the answer to `ROLE` or `INFO replication`; None if it is an error or not as specified."""
     try:
         if frame[:1] == b"-":
--- a/banklift/resp/wire.py
+++ b/banklift/resp/wire.py
@@ -18,7 +18,7 @@
 import math
 from dataclasses import dataclass, replace
 
-from banklift.decide.offsets import Standing
+from banklift.decide.offsets import ReplicationStatus
 from banklift.interface import Status
 from banklift.proxy.machine import Machine
 from banklift.proxy.wire import BrokenFrame, Question, Result
@@ -230,10 +230,10 @@
             return self._verdict(frames, None)
         return None
 
-    def _verdict(self, body: list[bytes], standing: Standing | None) -> Result:
+    def _verdict(self, body: list[bytes], replication_status: ReplicationStatus | None) -> Result:
         """What the answers to MULTI, the commands and EXEC mean.
 
-        `standing`: the member's replication status, if it was asked for and reported.
+        `replication_status`: the member's replication status, if it was asked for and reported.
         """
         answer = body[-1]
         # nothing ran; the error of a command that was not queued gives the reason, or else EXEC's own error does
@@ -242,5 +242,5 @@
             verdict = next((status(frame) for frame in errors if status(frame) is not Status.OK), Status.OK)
             if DEMOTED_ERROR in answer:
                 verdict = Status.MISS
-            return Result(verdict, answer, standing)
-        return Result(status(answer), answer, standing)
+            return Result(verdict, answer, replication_status)
+        return Result(status(answer), answer, replication_status)
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -13,7 +13,7 @@
 
 from banklift import interface as io
 from banklift.config import build
-from banklift.decide.offsets import Standing, Track
+from banklift.decide.offsets import ReplicationHistory, ReplicationStatus
 from banklift.interface import Effect, Need
 from banklift.proxy import events as ev
 from banklift.proxy.machine import Machine
@@ -244,7 +244,7 @@
         return super().submit(ask)
 
 
-class NowTrack(Track):
+class NowTrack(ReplicationHistory):
     def position(self, replid: str, offset: int) -> float | None:
         return 1e9
 
@@ -257,11 +257,11 @@
         proofs_of(self).tracks[:] = [NowTrack() for _ in proofs_of(self).tracks]
 
 
-class LoyalTrack(Track):
+class LoyalTrack(ReplicationHistory):
     """Knows the first history that it heard of, and no other."""
 
-    def _succeed(self, member: str, standing: Standing, replid: str, now: float) -> bool:
-        return self.replid is None and super()._succeed(member, standing, replid, now)
+    def _adopt_history(self, member: str, status: ReplicationStatus, replid: str, now: float) -> bool:
+        return self.replid is None and super()._adopt_history(member, status, replid, now)
 
 
 class Loyal(Machine):
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -9,7 +9,7 @@
 
 from banklift.config import build
 from banklift.config.load import EXAMPLE, load
-from banklift.decide.offsets import Standing
+from banklift.decide.offsets import ReplicationStatus
 from banklift.interface import Effect, State
 from banklift.proxy import events as ev
 from banklift.proxy.machine import Attempt, Machine, PendingRequest
@@ -543,11 +543,11 @@
     rig.ask("SET", "note:1", "a")
     rig.tell(ev.LinkData(rig.up("p:1"), b"+OK\r\n" + info(True, 5)))
     node = rig.machine.nodes["r"]
-    rig.proofs.learn(node, Standing(False, 5, "p:1", replid=A), rig.now, None)
+    rig.proofs.learn(node, ReplicationStatus(False, 5, "p:1", replid=A), rig.now, None)
     before = len(node.probes)
-    rig.proofs.learn(node, Standing(True, 5), rig.now, None)
+    rig.proofs.learn(node, ReplicationStatus(True, 5), rig.now, None)
     assert node.lore.doubt and len(node.probes) == before + 1
-    rig.proofs.learn(node, Standing(True, 5), rig.now, None)
+    rig.proofs.learn(node, ReplicationStatus(True, 5), rig.now, None)
     assert len(node.probes) == before + 1  # once is enough
 
 
@@ -715,8 +715,8 @@
     for age, served in ((0.7, True), (0.9, False)):
         rig = Rig()
         track = rig.proofs.tracks[0]
-        track.learn("p", Standing(True, 40, replid=A), rig.now - age, rig.now)
-        track.learn("p", Standing(True, 90, replid=A), rig.now - 0.1, rig.now)
+        track.record_answer("p", ReplicationStatus(True, 40, replid=A), rig.now - age, rig.now)
+        track.record_answer("p", ReplicationStatus(True, 90, replid=A), rig.now - 0.1, rig.now)
         attempt = Attempt(
             PendingRequest(
                 1,
@@ -736,7 +736,7 @@
             rig.now + 2,
             rig.now,
         )
-        fact = track.learn("r", Standing(False, 40, "p:1", replid=A), rig.now, rig.now)
+        fact = track.record_answer("r", ReplicationStatus(False, 40, "p:1", replid=A), rig.now, rig.now)
         assert rig.proofs.proves(attempt, fact) is served
 
 
