--- a/banklift/fleet/aggregator.py
+++ b/banklift/fleet/aggregator.py
@@ -124,7 +124,7 @@
         if answer is not None:
             epochs = [window.epoch if window is not None else 0 for window in (terms.current, terms.coming)]
             digests = parent.epoch_digests.get(epochs[0], ""), parent.epoch_digests.get(epochs[1], "")
-            texts = self._missing_policies(request.have, {*digests, self.applied_view.subject})
+            texts = self._missing_policies(request.known_policies, {*digests, self.applied_view.subject})
             grant = build_grant(request, answer, self.applied_view, digests, texts)
         return grant, self._advance(now, [])
 
--- a/banklift/fleet/aggregator_node.py
+++ b/banklift/fleet/aggregator_node.py
@@ -12,12 +12,12 @@
 from banklift.fleet.links import Link
 from banklift.fleet.member import Member
 from banklift.fleet.messages import (
-    Garbage,
     LeaseGrant,
     LeaseRelease,
     LeaseRequest,
     Message,
     NotProposed,
+    ProtocolError,
     RenewNow,
     Role,
     Set,
@@ -43,15 +43,15 @@
 
     # ---- events
 
-    def _own_due(self) -> float:
+    def _parts_due(self) -> float:
         """When the leases next have something to do."""
         return self.aggregator.due(self.now)
 
-    def _woken(self) -> None:
+    def _wake_parts(self) -> None:
         """Do what is due for the leases."""
         self._perform(self.aggregator.wake(self.now))
 
-    def may_be_ousted(self) -> bool:
+    def ends_on_name_conflict(self) -> bool:
         """Whether a clash of names may still end this process: only while it has no lease window."""
         return not self.aggregator.parent.windows
 
@@ -66,10 +66,10 @@
         return link.dialled != ""
 
     def message(self, link: Link, message: Message) -> None:
-        """Handle a message. Raises `Garbage` if the sender may not send it to an aggregator."""
+        """Handle a message. Raises `ProtocolError` if the sender may not send it to an aggregator."""
         match message:
             case LeaseGrant() if self._is_voter(link):
-                self.links.useful(link)
+                self.links.mark_useful(link)
                 self._perform(self.aggregator.granted(self.now, link.name, message))
             case RenewNow() if self._is_voter(link):
                 self._perform(self.aggregator.renew_now(self.now, link.name, message))
@@ -88,7 +88,7 @@
                 reason = f"{self.plan.name} is an aggregator: changes are proposed to voters"
                 self.links.write(link, NotProposed(change, reason, False))
             case _:
-                raise Garbage(f"{type(message).__name__} from {link.name or 'an operator'!r}")
+                raise ProtocolError(f"{type(message).__name__} from {link.name or 'an operator'!r}")
 
     # ---- operators
 
--- a/banklift/fleet/holder.py
+++ b/banklift/fleet/holder.py
@@ -293,8 +293,8 @@
                 grant.epoch,
                 sent_at + grant.ttl * (1 - self.drift) if grant.ttl > 0 else -math.inf,
                 grant.next_epoch,
-                now + grant.begin * (1 + self.drift),
-                sent_at + grant.next_ttl * (1 - self.drift),
+                now + grant.next_begins_in * (1 + self.drift),
+                sent_at + grant.next_epoch_ttl * (1 - self.drift),
             )
         self._schedule_request(now, grantor, grant)
         if not self._requests_from(name):
@@ -307,7 +307,7 @@
         if grant.reason:
             wait = RETRY_PART * self.lease * 2 ** min(grantor.refusals - 1, MAX_BACKOFF_DOUBLINGS)
         elif grant.ttl > 0 or grant.next_epoch:
-            granted_time = grant.next_ttl if grant.next_epoch else grant.ttl
+            granted_time = grant.next_epoch_ttl if grant.next_epoch else grant.ttl
             is_long = granted_time > SHORT_GRANT_FRACTION * self.lease
             fraction = RENEWAL_FRACTION if is_long else SHORT_GRANT_RENEWAL_FRACTION
             wait = max(fraction * granted_time, MIN_RENEWAL_WAIT_FRACTION * self.lease)
--- a/banklift/fleet/holder_table.py
+++ b/banklift/fleet/holder_table.py
@@ -178,10 +178,10 @@
         entry.last_number = request.number
         entry.last_heard = now
         entry.serving_epoch = request.epoch
-        entry.held_policies = request.have
+        entry.held_policies = request.known_policies
         entry.summary = request.summary
         entry.outstanding = {
-            number: grant for number, grant in entry.outstanding.items() if number >= request.held
+            number: grant for number, grant in entry.outstanding.items() if number >= request.oldest_held
         }
         if self.change_id and request.change == self.change_id:
             self._record_verdict(now, entry, request)
--- a/banklift/fleet/lease.py
+++ b/banklift/fleet/lease.py
@@ -43,7 +43,7 @@
     SendToGrantor,
 )
 from banklift.fleet.messages import LeaseGrant, LeaseRelease, LeaseRequest, RenewNow
-from banklift.fleet.policies import Check, PolicyCache
+from banklift.fleet.policies import PolicyCache, PolicyCheck
 from banklift.fleet.register import majority
 
 
@@ -62,7 +62,7 @@
         lease: float,
         drift: float,
         random: Random,
-        check: Check,
+        check: PolicyCheck,
         uses_aggregators: bool = False,
     ) -> None:
         super().__init__(grantors, lease, drift, random)
@@ -152,13 +152,13 @@
             if epoch and grantor.newest_grant is not previous:
                 self.epoch_digests[epoch] = digest
         for text in grant.policies:
-            self.policies.keep(text, self._digests_in_use())
+            self.policies.add(text, self._digests_in_use())
         if self.uses_aggregators:
             self._update_active(now, name, bool(grant.ttl > 0 or grant.next_epoch))
         # Tell the grantor at once that a longer lease is no longer relied on, as a change may wait for its end.
         if grantor.newest_grant.end_of(grant.epoch) < previous.end_of(grant.epoch):
             self.actions.append(SendToGrantor(name, LeaseRelease(previous.number)))
-        if self._check_change(grantor, grant.change, grant.subject):
+        if self._check_change(grantor, grant.change, grant.change_digest):
             self._send_request(now, name)
 
     def _requests_from(self, name: str) -> bool:
@@ -176,8 +176,8 @@
     def _news_received(self, grantor: Grantor, news: RenewNow) -> bool:
         """Check the policy of a change that an aggregator has sent. Returns whether the verdict has to be told."""
         for text in news.policies:
-            self.policies.keep(text, self._digests_in_use())
-        return self._check_change(grantor, news.change, news.subject)
+            self.policies.add(text, self._digests_in_use())
+        return self._check_change(grantor, news.change, news.change_digest)
 
     def _check_change(self, grantor: Grantor, change: str, digest: str) -> bool:
         """Check the policy of a change if this grantor names the change for the first time and the text is here.
--- a/banklift/fleet/links.py
+++ b/banklift/fleet/links.py
@@ -33,12 +33,12 @@
 
 from banklift.fleet.actions import LogLine
 from banklift.fleet.messages import (
-    VERSION,
+    PROTOCOL_VERSION,
     Bye,
-    Frames,
-    Garbage,
+    FrameDecoder,
     Hello,
     Message,
+    ProtocolError,
     RenewNow,
     Role,
     encode,
@@ -69,20 +69,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shut:
+class CloseLink:
     """Action: close a link once all that was written to it has been sent."""
 
     link: int
 
 
 @dataclass(frozen=True, slots=True)
-class Ousted:
+class NameConflict:
     """Action: end this program, as another member has refused it for good."""
 
     reason: str
 
 
-Action = Dial | Write | Shut | Ousted | LogLine
+Action = Dial | Write | CloseLink | NameConflict | LogLine
 
 
 @dataclass(slots=True, eq=False)
@@ -101,7 +101,7 @@
     claim: Hello | None = None  # the `Hello` of the link that claims its name
     claimed_by: int = 0  # number of the link that claims its name
     heard_since_claim: bool = False  # whether any message has come on it since the claim
-    frames: Frames = field(default_factory=Frames)
+    frames: FrameDecoder = field(default_factory=FrameDecoder)
 
     @property
     def operator(self) -> bool:
@@ -116,9 +116,9 @@
         """A link has been greeted, or a greeted link is gone."""
 
     def message(self, link: Link, message: Message) -> None:
-        """Handle a message on a greeted link. Errors: `Garbage` if the sender may not send it."""
+        """Handle a message on a greeted link. Errors: `ProtocolError` if the sender may not send it."""
 
-    def may_be_ousted(self) -> bool:
+    def ends_on_name_conflict(self) -> bool:
         """Whether a name conflict may still end this program."""
 
 
@@ -161,13 +161,13 @@
         self.redial_at = dict.fromkeys(self.next_redial_pause, now)
         self._dial()
 
-    def number(self) -> int:
+    def new_link_number(self) -> int:
         """A new number, for a link that another member has dialled."""
         self.last_link_number += 1
         return self.last_link_number
 
     def accepted(self, now: float, number: int) -> None:
-        """Another member has dialled this one. The link's number comes from `number`."""
+        """Another member has dialled this one. The link's number comes from `new_link_number`."""
         self.now = now
         link = self.by_id[number] = Link(number, up=True, since=now)
         self.ungreeted[number] = link
@@ -194,8 +194,8 @@
             for message in link.frames.feed(data):
                 if number in self.by_id:
                     self._dispatch(link, message)
-        except Garbage as garbage:
-            self.end(link, f"protocol error: {garbage}")
+        except ProtocolError as error:
+            self.end(link, f"protocol error: {error}")
 
     def lost(self, now: float, number: int, reason: str) -> None:
         """A link is gone, or could not be connected."""
@@ -238,10 +238,10 @@
         """End a link, and tell the other end why. `clash`: as in `Bye`."""
         self._log("link ended", link, reason)
         self.write(link, Bye(reason, clash))
-        self.actions.append(Shut(link.id))
+        self.actions.append(CloseLink(link.id))
         self._remove(link)
 
-    def useful(self, link: Link) -> None:
+    def mark_useful(self, link: Link) -> None:
         """A dialled link has brought an answer: if it breaks, the first redial comes after the shortest pause.
 
         A greeting alone does not count, or a member that is overloaded would be dialled again at the shortest pause
@@ -256,7 +256,7 @@
         """This member's `Hello`."""
         plan = self.plan
         return Hello(
-            VERSION,
+            PROTOCOL_VERSION,
             plan.fleet,
             plan.name,
             self.incarnation,
@@ -271,7 +271,7 @@
         for peer, when in list(self.redial_at.items()):
             if when <= self.now:
                 del self.redial_at[peer]
-                link = Link(self.number(), dialled=peer, since=self.now)
+                link = Link(self.new_link_number(), dialled=peer, since=self.now)
                 self.by_id[link.id] = self.ungreeted[link.id] = link
                 self.actions.append(Dial(link.id, peer))
 
@@ -308,7 +308,7 @@
             self.owner.link_changed(link, False)
 
     def _dispatch(self, link: Link, message: Message) -> None:
-        """Handle a message on any link. Errors: `Garbage` for one that may not come there."""
+        """Handle a message on any link. Errors: `ProtocolError` for one that may not come there."""
         link.heard_since_claim = True
         match message:
             case Bye(reason, clash):
@@ -316,16 +316,16 @@
             case Hello() if not link.greeted:
                 self._handle_hello(link, message)
             case _ if not link.greeted:
-                raise Garbage(f"{type(message).__name__} before Hello")
+                raise ProtocolError(f"{type(message).__name__} before Hello")
             case _:
                 self.owner.message(link, message)
 
     def _handle_bye(self, link: Link, reason: str, clash: bool) -> None:
         """The other end has ended the link with `Bye`."""
         self._log("turned away", link, reason)
-        if clash and self.owner.may_be_ousted():
-            self.actions.append(Ousted(f"{link.name or link.dialled}: {reason}"))
-        self.actions.append(Shut(link.id))
+        if clash and self.owner.ends_on_name_conflict():
+            self.actions.append(NameConflict(f"{link.name or link.dialled}: {reason}"))
+        self.actions.append(CloseLink(link.id))
         self._remove(link)
 
     def _handle_hello(self, link: Link, hello: Hello) -> None:
@@ -369,8 +369,10 @@
     def _mismatches(self, link: Link, hello: Hello) -> list[str]:
         """Why both ends don't belong together, a text for each mismatch; empty if they do."""
         plan, mismatches = self.plan, []
-        if hello.version != VERSION:
-            mismatches.append(f"version {hello.version} of the fleet's messages, here it is {VERSION}")
+        if hello.version != PROTOCOL_VERSION:
+            mismatches.append(
+                f"version {hello.version} of the fleet's messages, here it is {PROTOCOL_VERSION}"
+            )
         if hello.fleet != plan.fleet:
             mismatches.append(f"fleet {hello.fleet!r}, here it is {plan.fleet!r}")
         if not hello.name:
--- a/banklift/fleet/member.py
+++ b/banklift/fleet/member.py
@@ -54,15 +54,15 @@
         """The process has started."""
         self.now = now
         self.links.start(now)
-        self._started()
+        self._start_parts()
         return self._take_actions()
 
-    def number(self) -> int:
+    def new_link_number(self) -> int:
         """A new number, for a link that another member has dialled."""
-        return self.links.number()
+        return self.links.new_link_number()
 
     def accepted(self, now: float, link: int) -> list[Action]:
-        """Another member has dialled this one. The link's number comes from `number`."""
+        """Another member has dialled this one. The link's number comes from `new_link_number`."""
         self.now = now
         self.links.accepted(now, link)
         return self._take_actions()
@@ -94,7 +94,7 @@
         """`due` has come: run the timers that are over."""
         self.now = now
         self.links.wake(now)
-        self._woken()
+        self._wake_parts()
         return self._take_actions()
 
     def leave(self, now: float) -> list[Action]:
@@ -106,20 +106,20 @@
     def due(self) -> float:
         """When `wake` has something to do; may change with each event."""
         if self._due is None:
-            self._due = min(self.links.due, self._own_due())
+            self._due = min(self.links.due, self._parts_due())
         return self._due
 
     # ---- for subclasses
 
-    def _own_due(self) -> float:
+    def _parts_due(self) -> float:
         """When a part of the subclass, other than the links, has something to do."""
         raise NotImplementedError
 
-    def _started(self) -> None:
+    def _start_parts(self) -> None:
         """The process has started: start the parts of the subclass."""
         return
 
-    def _woken(self) -> None:
+    def _wake_parts(self) -> None:
         """Run the timers of the subclass's parts."""
         return
 
@@ -128,10 +128,10 @@
         raise NotImplementedError
 
     def message(self, link: Link, message: Message) -> None:
-        """Handle a message on a greeted link. Errors: `Garbage` if the sender may not send it."""
+        """Handle a message on a greeted link. Errors: `ProtocolError` if the sender may not send it."""
         raise NotImplementedError
 
-    def may_be_ousted(self) -> bool:
+    def ends_on_name_conflict(self) -> bool:
         """Whether a name conflict may still end this program."""
         raise NotImplementedError
 
--- a/banklift/fleet/messages.py
+++ b/banklift/fleet/messages.py
@@ -17,7 +17,7 @@
 
 from banklift.fleet.state import Outcome, State
 
-VERSION = 2  # of this protocol; a `Hello` with another version ends the link
+PROTOCOL_VERSION = 2  # of this protocol; a `Hello` with another version ends the link
 LENGTH_BYTES = 4  # of each frame, which hold the length of its body
 CHECKSUM_BYTES = (
     4  # of each frame: a CRC-32 of the body, as TCP's checksum misses one altered segment in 65,536
@@ -191,11 +191,12 @@
     """A holder asks for a lease or for its renewal."""
 
     number: int  # counts up within an incarnation
-    held: int  # number of the oldest grant that the holder still counts; it has given up all earlier ones
+    # number of the oldest grant that the holder still counts; it has given up all earlier ones
+    oldest_held: int
     epoch: int  # that the holder serves; 0: none
     change: str  # id of the change that `verdict` is on
     verdict: tuple[str, ...] | None  # reasons against the change; empty: accepted; None: no answer yet
-    have: tuple[str, ...]  # digests of the policies whose text the holder has
+    known_policies: tuple[str, ...]  # digests of the policies whose text the holder has
     summary: Summary | None = None  # an aggregator's own holders
 
 
@@ -203,22 +204,22 @@
     """The answer to a `LeaseRequest`. Durations are seconds.
 
     The lease on `epoch` holds for `ttl`, counted from when the holder sent the request; with a `ttl` of 0 there is no
-    new lease, and one that is held goes on. The lease on `next_epoch` begins `begin` after this message has arrived,
-    and holds for `next_ttl`, counted from when the holder sent the request.
+    new lease, and one that is held goes on. The lease on `next_epoch` begins `next_begins_in` after this message has
+    arrived, and holds for `next_epoch_ttl`, counted from when the holder sent the request.
     """
 
     number: int  # of the request
     epoch: int
     ttl: float
     next_epoch: int
-    begin: float
-    next_ttl: float
+    next_begins_in: float
+    next_epoch_ttl: float
     digests: tuple[str, str]  # of the policies of both epochs; empty: none
     version: int  # of the newest state that the grantor knows; 0: none
     change: str  # id of the change under way in that state; empty: none
     stage: str  # of that change
     dry: bool  # whether that change is a dry run
-    subject: str  # digest of that change's policy
+    change_digest: str  # digest of that change's policy
     policies: tuple[bytes, ...]  # texts that the holder lacks
     reason: str = ""  # why there is no lease
 
@@ -236,7 +237,7 @@
     """
 
     change: str = ""  # id of the change to check; empty: none
-    subject: str = ""  # digest of the change's policy
+    change_digest: str = ""  # digest of the change's policy
     policies: tuple[bytes, ...] = ()
 
 
@@ -324,7 +325,7 @@
 _decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(AnyMessage)
 
 
-class Garbage(Exception):
+class ProtocolError(Exception):
     """Raised where the other end breaks the protocol; the link has to be ended."""
 
 
@@ -338,7 +339,7 @@
     return crc32(body).to_bytes(CHECKSUM_BYTES, "big")
 
 
-class Frames:
+class FrameDecoder:
     """Decodes the byte stream of one link into messages."""
 
     def __init__(self) -> None:
@@ -346,7 +347,10 @@
         self._needed_bytes = 0  # length of `_partial` at which decoding can go on
 
     def feed(self, data: bytes) -> list[Message]:
-        """Add bytes; returns the messages that are whole now. Errors: `Garbage` for a frame that can't be decoded."""
+        """Add bytes; returns the messages that are whole now.
+
+        Errors: `ProtocolError` for a frame that can't be decoded.
+        """
         if self._partial:
             self._partial += data
             if len(self._partial) < self._needed_bytes:
@@ -357,7 +361,7 @@
         while len(data) >= end:
             length = int.from_bytes(data[begin : begin + LENGTH_BYTES], "big")
             if length > MAX_FRAME_BYTES:
-                raise Garbage(f"frame of {length} bytes is too long")
+                raise ProtocolError(f"frame of {length} bytes is too long")
             end = begin + HEADER_BYTES + length
             if len(data) < end:
                 break
@@ -372,11 +376,11 @@
 
 
 def _decode_body(checksum: bytes, body: bytes) -> Message:
-    """The message of one frame. Errors: `Garbage` if the checksum or the body is wrong."""
+    """The message of one frame. Errors: `ProtocolError` if the checksum or the body is wrong."""
     if checksum != _checksum(body):
-        raise Garbage("frame with a wrong checksum")
+        raise ProtocolError("frame with a wrong checksum")
     try:
         message: Message = _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise Garbage(f"frame can't be decoded: {error}") from None
+        raise ProtocolError(f"frame can't be decoded: {error}") from None
     return message
--- a/banklift/fleet/node.py
+++ b/banklift/fleet/node.py
@@ -20,18 +20,18 @@
 from banklift.fleet.links import Link
 from banklift.fleet.member import Action, Member
 from banklift.fleet.messages import (
-    Garbage,
     LeaseGrant,
     LeaseRelease,
     LeaseRequest,
     Message,
+    ProtocolError,
     RenewNow,
     Role,
     Set,
     Show,
 )
 from banklift.fleet.plan import Plan
-from banklift.fleet.policies import Check
+from banklift.fleet.policies import PolicyCheck
 from banklift.fleet.register import Record
 from banklift.fleet.voter import Voter
 
@@ -49,7 +49,7 @@
         incarnation: int,
         seed: int,
         policy: bytes,
-        check: Check,
+        check: PolicyCheck,
         record: Record | None = None,
         absent: bool = True,
     ) -> None:
@@ -90,18 +90,18 @@
         self._run_lease_actions(self.leases.leave(now))
         return self._take_actions()
 
-    def _own_due(self) -> float:
+    def _parts_due(self) -> float:
         """When the leases or the voter have something to do."""
         due = self.leases.due(self.now)
         return min(due, self.voter.due(self.now)) if self.voter is not None else due
 
-    def _started(self) -> None:
+    def _start_parts(self) -> None:
         """Start the voter, and lease from it."""
         if self.voter is not None:
             self._run_voter_actions(self.voter.start(self.now))
             self._run_lease_actions(self.leases.up(self.now, self.plan.name))
 
-    def _woken(self) -> None:
+    def _wake_parts(self) -> None:
         """Run the timers of the leases and of the voter."""
         # Always: an epoch may begin at this moment, which `due` no longer names once it has come.
         self._run_lease_actions(self.leases.wake(self.now))
@@ -110,7 +110,7 @@
 
     # ---- links
 
-    def may_be_ousted(self) -> bool:
+    def ends_on_name_conflict(self) -> bool:
         """A router that serves an epoch keeps running through a name conflict."""
         return not self.leases.serving
 
@@ -131,17 +131,17 @@
         return link.role is self.grantor_role and link.name in self.leases.grantors
 
     def message(self, link: Link, message: Message) -> None:
-        """Hand a message to the part it is for. Errors: `Garbage` if the sender may not send it."""
+        """Hand a message to the part it is for. Errors: `ProtocolError` if the sender may not send it."""
         match message:
             case LeaseGrant() if self._is_grantor(link):
-                self.links.useful(link)
+                self.links.mark_useful(link)
                 self._run_lease_actions(self.leases.granted(self.now, link.name, message))
             case RenewNow() if self._is_grantor(link):
                 self._run_lease_actions(self.leases.renew_now(self.now, link.name, message))
             case RenewNow():
                 return
             case _ if self.voter is None:
-                raise Garbage(f"{type(message).__name__} from {link.name!r}")
+                raise ProtocolError(f"{type(message).__name__} from {link.name!r}")
             case _ if link.operator:
                 self._operator_message(self.voter, link, message)
             case LeaseRequest():
@@ -152,20 +152,20 @@
             case LeaseRelease():
                 self._run_voter_actions(self.voter.release(self.now, link.name, link.incarnation, message))
             case _ if link.role is Role.ROUTER and link.name in self.plan.voters:
-                self.links.useful(link)
+                self.links.mark_useful(link)
                 self._run_voter_actions(self.voter.message(self.now, link.name, message))
             case _:
-                raise Garbage(f"{type(message).__name__} from {link.name!r}")
+                raise ProtocolError(f"{type(message).__name__} from {link.name!r}")
 
     def _operator_message(self, voter: Voter, link: Link, message: Message) -> None:
-        """Handle an operator's message. Errors: `Garbage` if operators may not send it."""
+        """Handle an operator's message. Errors: `ProtocolError` if operators may not send it."""
         match message:
             case Set():
                 self._run_voter_actions(voter.set(self.now, link.id, message))
             case Show():
                 self.links.write(link, voter.show(self.now))
             case _:
-                raise Garbage(f"{type(message).__name__} from an operator")
+                raise ProtocolError(f"{type(message).__name__} from an operator")
 
     # ---- parts
 
--- a/banklift/fleet/parent_lease.py
+++ b/banklift/fleet/parent_lease.py
@@ -8,8 +8,8 @@
 
 A window may shrink. While a change of policy takes hold, voters grant short leases, and a newer, shorter grant ends
 before an older one. Sub-leases that were cut from the older grant may then end after the new window. Therefore the
-aggregator goes on to hold its older grants, and the voters know it from `LeaseRequest.held`, until everything that
-was granted from them ends within the newest windows and `drop_older_grants` is called. New sub-leases are cut from
+aggregator goes on to hold its older grants, and the voters know it from `LeaseRequest.oldest_held`, until everything
+that was granted from them ends within the newest windows and `drop_older_grants` is called. New sub-leases are cut from
 the newest windows only.
 """
 
@@ -143,7 +143,7 @@
             self.windows = self._compute_windows()
             self._forget_old_epochs()
         for text in grant.policies:
-            self.policies.keep(text, {self.view.subject, *self.epoch_digests.values()})
+            self.policies.add(text, {self.view.subject, *self.epoch_digests.values()})
 
     # ---- state of the voters
 
@@ -151,7 +151,7 @@
         """Take over a newer state; a verdict on another change no longer counts."""
         if grant.change != self.view.change:
             self.verdict = None
-        self.view = ChangeView(grant.version, grant.change, grant.stage, grant.dry, grant.subject)
+        self.view = ChangeView(grant.version, grant.change, grant.stage, grant.dry, grant.change_digest)
 
     def _forget_old_epochs(self) -> None:
         """Drop the digests of epochs before the oldest window."""
--- a/banklift/fleet/policies.py
+++ b/banklift/fleet/policies.py
@@ -8,7 +8,7 @@
 
 MAX_POLICIES = 4  # texts kept; more only while more are in use
 
-Check = Callable[[bytes], tuple[str, ...]]
+PolicyCheck = Callable[[bytes], tuple[str, ...]]
 
 
 class PolicyCache:
@@ -17,12 +17,12 @@
     `check`: returns the reasons against a policy, empty if it can be served. Each text is checked once.
     """
 
-    def __init__(self, check: Check) -> None:
+    def __init__(self, check: PolicyCheck) -> None:
         self.check = check
         self.texts: dict[str, bytes] = {}  # by digest, the newest last
         self.verdicts: dict[str, tuple[str, ...]] = {}
 
-    def keep(self, text: bytes, in_use: Iterable[str]) -> None:
+    def add(self, text: bytes, in_use: Iterable[str]) -> None:
         """Add a text; the oldest ones whose digest is not in `in_use` make room."""
         policy_digest = digest(text)
         self.texts.pop(policy_digest, None)
--- a/banklift/fleet/proposer.py
+++ b/banklift/fleet/proposer.py
@@ -97,7 +97,7 @@
             case Accepted():
                 self._handle_accepted(self.proposal, voter, message)
             case Nack():
-                if self.proposal.nack(message):
+                if self.proposal.handle_nack(message):
                     self._pause_before_retry()
 
     def _begin_round(self) -> None:
@@ -113,7 +113,7 @@
 
     def _handle_promise(self, proposal: Proposal, voter: str, message: Promise) -> None:
         try:
-            accept = proposal.promised(voter, message)
+            accept = proposal.handle_promise(voter, message)
         except ProposalRejected as rejected:
             self._finish_task().on_rejected(rejected)
             return
@@ -121,7 +121,7 @@
             self.broadcast(accept)
 
     def _handle_accepted(self, proposal: Proposal, voter: str, message: Accepted) -> None:
-        state = proposal.accepted(voter, message)
+        state = proposal.handle_accepted(voter, message)
         if state is not None:
             task = self._finish_task()
             self.on_chosen(state)
--- a/banklift/fleet/register.py
+++ b/banklift/fleet/register.py
@@ -63,7 +63,7 @@
 )
 from banklift.fleet.state import State
 
-FORMAT = 1  # version of the record on disk
+RECORD_FORMAT = 1  # version of the record on disk
 VOTING, WHOLE, BLANK = "voting", "whole", "blank"  # what a voter reports of itself, see `Rejoined`
 
 
@@ -78,7 +78,7 @@
     state: State | None = None
     incarnations: dict[str, int] = {}  # the newest known incarnation of each voter, this one among them
     founding: dict[str, int] = {}  # incarnations of all voters when the fleet began
-    format: int = FORMAT
+    format: int = RECORD_FORMAT
 
 
 def majority(voters: int) -> int:
@@ -86,7 +86,7 @@
     return voters // 2 + 1
 
 
-def merged(one: dict[str, int], other: dict[str, int]) -> dict[str, int]:
+def merge_incarnations(one: dict[str, int], other: dict[str, int]) -> dict[str, int]:
     """The newest incarnation of each voter that either side knows."""
     return {name: max(one.get(name, 0), other.get(name, 0)) for name in sorted({*one, *other})}
 
@@ -116,7 +116,7 @@
 
     `standing`: of the voter that answers (`VOTING`, `WHOLE` or `BLANK`). `absent`: its folder never held a record.
     """
-    known = merged(record.incarnations, {voter: message.incarnation})
+    known = merge_incarnations(record.incarnations, {voter: message.incarnation})
     after = record if known == record.incarnations else msgspec.structs.replace(record, incarnations=known)
     return after, Rejoined(
         message.incarnation,
@@ -145,18 +145,18 @@
     state: State | None = None  # proposed in `Accept`, once a majority has promised
     preempted_by: Ballot = NO_BALLOT  # the highest ballot promised by a voter that refused this one
 
-    def consistent(self, answers: Mapping[str, Promise | Accepted]) -> list[str]:
+    def voters_of_newest_incarnation(self, answers: Mapping[str, Promise | Accepted]) -> list[str]:
         """Voters whose answers come from their newest incarnation that any answer so far knows."""
         newest: dict[str, int] = {}
         for received in (*self.promises.values(), *self.accepts.values()):
-            newest = merged(newest, received.incarnations)  # type: ignore[attr-defined]
+            newest = merge_incarnations(newest, received.incarnations)  # type: ignore[attr-defined]
         return [
             name
             for name, answer in answers.items()
             if answer.incarnations.get(name, 0) == newest.get(name, 0)
         ]
 
-    def promised(self, voter: str, message: Promise) -> Accept | None:
+    def handle_promise(self, voter: str, message: Promise) -> Accept | None:
         """Count a promise; returns the `Accept` to send to all voters, once a majority has promised.
 
         Errors: those of `change`.
@@ -164,21 +164,25 @@
         if message.ballot != self.ballot or self.state is not None or voter not in self.voters:
             return None
         self.promises[voter] = message
-        sound = self.consistent(self.promises)
+        sound = self.voters_of_newest_incarnation(self.promises)
         if len(sound) < majority(len(self.voters)):
             return None
         newest = max((self.promises[name] for name in sound), key=lambda promise: promise.accepted)
         self.state = self.change(newest.state)
         return Accept(self.ballot, self.state)
 
-    def accepted(self, voter: str, message: Accepted) -> State | None:
+    def handle_accepted(self, voter: str, message: Accepted) -> State | None:
         """Count an acceptance; returns the state, once a majority has accepted it: it is chosen."""
         if message.ballot != self.ballot or self.state is None or voter not in self.voters:
             return None
         self.accepts[voter] = message
-        return self.state if len(self.consistent(self.accepts)) >= majority(len(self.voters)) else None
+        return (
+            self.state
+            if len(self.voters_of_newest_incarnation(self.accepts)) >= majority(len(self.voters))
+            else None
+        )
 
-    def nack(self, message: Nack) -> bool:
+    def handle_nack(self, message: Nack) -> bool:
         """Note a refusal; returns whether a higher ballot has preempted this one."""
         if message.ballot == self.ballot:
             self.preempted_by = max(self.preempted_by, message.promised)
@@ -204,8 +208,8 @@
         """What this voter reports of itself to others that rejoin."""
         return WHOLE if self.whole else BLANK
 
-    def answered(self, voter: str, message: Rejoined) -> Record | None:
-        """Count an answer; returns what `done` returns. An answer to an older incarnation is ignored."""
+    def handle_answer(self, voter: str, message: Rejoined) -> Record | None:
+        """Count an answer; returns what `recovered_record` returns. An answer to an older incarnation is ignored."""
         if (
             message.incarnation != self.record.incarnation
             or voter not in self.voters
@@ -213,10 +217,10 @@
         ):
             return None
         self.answers[voter] = message
-        return self.done()
+        return self.recovered_record()
 
     @property
-    def outlived(self) -> int:
+    def newer_incarnation(self) -> int:
         """An incarnation of this voter that others know and that is newer than its own; zero if there is none.
 
         Such a voter has to take an incarnation that is newer still.
@@ -231,17 +235,17 @@
         answer = self.answers.get(voter)
         return answer is not None and answer.standing == VOTING
 
-    def again(self, incarnation: int) -> None:
+    def restart(self, incarnation: int) -> None:
         """Start recovery again under this incarnation, without the answers so far."""
-        known = merged(self.record.incarnations, {self.record.voter: incarnation})
+        known = merge_incarnations(self.record.incarnations, {self.record.voter: incarnation})
         self.record = msgspec.structs.replace(self.record, incarnation=incarnation, incarnations=known)
         self.answers.clear()
 
-    def done(self) -> Record | None:
+    def recovered_record(self) -> Record | None:
         """The record to vote with from now on, which has to be written first; None while too little is known."""
         own_name, voter_count = self.record.voter, len(self.voters)
         quorum, answers = majority(voter_count), self.answers.values()
-        if self.outlived:
+        if self.newer_incarnation:
             return None
         if self.absent:
             if len(self.answers) == voter_count - 1 and all(
@@ -249,7 +253,7 @@
             ):
                 known = self.record.incarnations
                 for name, answer in self.answers.items():
-                    known = merged(known, {name: answer.incarnations.get(name, 0)})
+                    known = merge_incarnations(known, {name: answer.incarnations.get(name, 0)})
                 return msgspec.structs.replace(self.record, incarnations=known, founding=known)
             if any(
                 answer.standing == VOTING and answer.founding.get(own_name) == self.record.incarnation
@@ -271,7 +275,7 @@
             record = msgspec.structs.replace(
                 record,
                 promised=max(record.promised, answer.promised),
-                incarnations=merged(record.incarnations, answer.incarnations),
+                incarnations=merge_incarnations(record.incarnations, answer.incarnations),
                 founding=record.founding or answer.founding,
             )
         return record
--- a/banklift/fleet/state.py
+++ b/banklift/fleet/state.py
@@ -111,7 +111,7 @@
     return next((outcome for outcome in reversed(state.history) if outcome.id == change), None)
 
 
-def found(fleet: str, policy: bytes) -> State:
+def initial_state(fleet: str, policy: bytes) -> State:
     """The first state of a fleet: version 1, epoch 1."""
     return State(fleet, 1, 1, policy)
 
--- a/banklift/fleet/voter.py
+++ b/banklift/fleet/voter.py
@@ -65,7 +65,7 @@
     abort,
     agree,
     find_outcome,
-    found,
+    initial_state,
     propose,
     settle,
 )
@@ -129,12 +129,12 @@
         base = msgspec.structs.replace(
             base,
             incarnation=incarnation,
-            incarnations=register.merged(base.incarnations, {name: incarnation}),
+            incarnations=register.merge_incarnations(base.incarnations, {name: incarnation}),
         )
         self.disk = DurableRecord(base, self.actions.append)
         self.proposer = Proposer(name, voters, random, self._broadcast, self._handle_chosen)
         self.rejoining: Rejoining | None = Rejoining(base, voters, record is not None, absent)
-        self.in_step = False  # has read the register since it started, and grants leases
+        self.has_read_register = False  # has read the register since it started, and grants leases
         self.lease_table = LeaseTable(lease, drift)
         self.linked: dict[str, bool] = {other: False for other in voters if other != name}
         self.operators: set[int] = set()  # links of operators that are connected
@@ -154,7 +154,7 @@
         """The process has started."""
         self.now = now
         assert self.rejoining is not None
-        if (record := self.rejoining.done()) is not None:  # the only voter of its fleet
+        if (record := self.rejoining.recovered_record()) is not None:  # the only voter of its fleet
             self._start_voting(record)
         return self._take_actions()
 
@@ -355,9 +355,9 @@
         own = self.rejoining
         if own is None:
             return
-        record = own.answered(voter, message)
-        if own.outlived:
-            own.again(own.outlived + 1)
+        record = own.handle_answer(voter, message)
+        if own.newer_incarnation:
+            own.restart(own.newer_incarnation + 1)
             for other, up in self.linked.items():
                 if up:
                     self.actions.append(ToVoter(other, Rejoin(own.record.incarnation)))
@@ -369,7 +369,7 @@
         for voter, up in self.linked.items():
             if up and not own.has_voting_answer(voter):
                 self.actions.append(ToVoter(voter, Rejoin(own.record.incarnation)))
-        record = own.done()
+        record = own.recovered_record()
         if record is not None and self.disk.idle:
             self._start_voting(record)
 
@@ -385,7 +385,7 @@
             self.proposer.highest_ballot = max(self.proposer.highest_ballot, record.promised)
             self.actions.append(LogLine("votes", {"incarnation": record.incarnation}))
             self._propose_change(
-                lambda state: state or found(self.fleet, self.policy),
+                lambda state: state or initial_state(self.fleet, self.policy),
                 self._handle_register_read,
                 lambda rejected: None,
             )
@@ -394,7 +394,7 @@
 
     def _handle_register_read(self, state: State) -> None:
         """The register was read for the first time since the start: grant leases from here on."""
-        self.in_step = True
+        self.has_read_register = True
         self.lease_table.restarted(self.now, state)
         self.last_driven_at = self.now
         self.actions.append(AnnounceRenewal())
@@ -420,7 +420,7 @@
     def _apply_state(self, state: State) -> None:
         """Apply a chosen state, and report the end of the change that this voter drives."""
         before = self.lease_table.state
-        if not self.in_step or not self.lease_table.apply_state(self.now, state):
+        if not self.has_read_register or not self.lease_table.apply_state(self.now, state):
             return  # the state is known already, or this voter is about to read the register itself
         self.last_driven_at = self.now
         if before is None or state.change != before.change or state.epoch != before.epoch:
--- a/banklift/net/fleet.py
+++ b/banklift/net/fleet.py
@@ -7,7 +7,7 @@
 from banklift.fleet.actions import LogLine
 from banklift.fleet.durable import Save
 from banklift.fleet.holder import EpochAdopted, LeaseExtended
-from banklift.fleet.links import Dial, Ousted, Shut, Write
+from banklift.fleet.links import CloseLink, Dial, NameConflict, Write
 from banklift.fleet.member import Action, Member
 from banklift.net.env import Alarm, Env, Handle, Peer
 from banklift.net.router import Log
@@ -75,7 +75,7 @@
                         self.handles[link].send(data)
                 case Dial(link, peer):
                     self.handles[link] = self.env.connect(self.addresses[peer], _LinkPeer(self, link))
-                case Shut(link):
+                case CloseLink(link):
                     if (handle := self.handles.pop(link, None)) is not None:
                         handle.finish()
                 case Save(number, record):
@@ -85,7 +85,7 @@
                     self.adopt_policy(epoch, policy)
                 case LeaseExtended(time, retry_after):
                     self.extend_lease(time, retry_after)
-                case Ousted(reason):
+                case NameConflict(reason):
                     self.on_refused(reason)
                 case LogLine(event, fields):
                     self.log(event, fields)
@@ -132,7 +132,7 @@
         elif self.link:
             host.carry(host.node.connected(host.env.now(), self.link))
         else:
-            self.link = host.node.number()
+            self.link = host.node.new_link_number()
             host.handles[self.link] = handle
             host.carry(host.node.accepted(host.env.now(), self.link))
 
--- a/banklift/net/operator.py
+++ b/banklift/net/operator.py
@@ -10,15 +10,15 @@
 from anyio.abc import SocketStream
 
 from banklift.fleet.messages import (
-    VERSION,
+    PROTOCOL_VERSION,
     Bye,
     Ended,
-    Frames,
-    Garbage,
+    FrameDecoder,
     Hello,
     Message,
     NotProposed,
     Progress,
+    ProtocolError,
     Role,
     Set,
     Show,
@@ -32,7 +32,7 @@
 CONNECTION_ERRORS = (
     OSError,
     TimeoutError,
-    Garbage,
+    ProtocolError,
     anyio.EndOfStream,
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
@@ -61,7 +61,7 @@
     """A connection to one member of a fleet. Errors of all its methods: `CONNECTION_ERRORS`."""
 
     def __init__(self, stream: SocketStream) -> None:
-        self._stream, self._frames = stream, Frames()
+        self._stream, self._frames = stream, FrameDecoder()
         self._received: list[Message] = []
 
     @classmethod
@@ -95,7 +95,7 @@
         return self._received.pop(0)
 
     async def _exchange_hello(self, fleet: str) -> None:
-        await self.send(Hello(VERSION, fleet, "", 0, (), 0.0, 0.0, Role.OPERATOR))
+        await self.send(Hello(PROTOCOL_VERSION, fleet, "", 0, (), 0.0, 0.0, Role.OPERATOR))
         answer = await self.receive(CONNECT_TIMEOUT_SECONDS)
         if not isinstance(answer, Hello):
             raise OSError(answer.reason if isinstance(answer, Bye) else "no Hello received")
--- a/banklift/net/voter_state.py
+++ b/banklift/net/voter_state.py
@@ -12,7 +12,7 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from banklift.fleet.register import FORMAT, Record
+from banklift.fleet.register import RECORD_FORMAT, Record
 from banklift.net.router import Log
 from banklift.store.slots import Slots, StoreError
 
@@ -91,8 +91,10 @@
     try:
         untyped = msgspec.msgpack.decode(content)
         stored_format = untyped.get("format") if isinstance(untyped, dict) else None
-        if isinstance(stored_format, int) and stored_format > FORMAT:
-            raise StateRefused(f"{folder}: a state of a newer build (format {stored_format}, here {FORMAT})")
+        if isinstance(stored_format, int) and stored_format > RECORD_FORMAT:
+            raise StateRefused(
+                f"{folder}: a state of a newer build (format {stored_format}, here {RECORD_FORMAT})"
+            )
         return msgspec.msgpack.decode(content, type=Record)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise StateRefused(f"{folder}: not a state that this build knows: {error}") from None
--- a/banklift/rig/capacity_alone.py
+++ b/banklift/rig/capacity_alone.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from banklift.fleet.messages import Frames, encode
+from banklift.fleet.messages import FrameDecoder, encode
 from banklift.fleet.node import Node
 from banklift.rig.capacity_grantor import GrantorPair, RequestCosts, Tier, request_costs
 from banklift.rig.capacity_members import MemberCosts, member_costs
@@ -89,7 +89,7 @@
         begin = time.process_time()
         data = encode(node.voter.show(pair.now))
         answered = time.process_time()
-        Frames().feed(data)
+        FrameDecoder().feed(data)
         answering.append(answered - begin)
         reading.append(time.process_time() - answered)
     return ShowCosts(holders, len(data), min(answering), min(reading))
--- a/banklift/rig/capacity_grantor.py
+++ b/banklift/rig/capacity_grantor.py
@@ -17,12 +17,12 @@
 
 from banklift.fleet.aggregator_node import AggregatorNode
 from banklift.fleet.durable import Save
-from banklift.fleet.links import Dial, Shut, Write
+from banklift.fleet.links import CloseLink, Dial, Write
 from banklift.fleet.member import Action, Member
 from banklift.fleet.messages import (
-    VERSION,
+    PROTOCOL_VERSION,
     Ended,
-    Frames,
+    FrameDecoder,
     Hello,
     LeaseGrant,
     LeaseRequest,
@@ -70,7 +70,7 @@
     number: int = 0
     granted: int = 0
     ttl: float = 0.0  # of its newest lease
-    frames: Frames = field(default_factory=Frames)
+    frames: FrameDecoder = field(default_factory=FrameDecoder)
 
     def request(
         self, change: str, verdict: tuple[str, ...] | None, have: tuple[str, ...], epoch: int
@@ -120,13 +120,13 @@
         for action in actions:
             match action:
                 case Dial(link, peer):
-                    other = self.nodes[peer].number()
+                    other = self.nodes[peer].new_link_number()
                     self.pairs[name, link], self.pairs[peer, other] = (peer, other), (name, link)
                     self._carry(peer, list(self.nodes[peer].accepted(self.now, other)))
                     self._carry(name, list(self.nodes[name].connected(self.now, link)))
                 case Write(link, data):
                     self._write(name, link, data)
-                case Shut(link):
+                case CloseLink(link):
                     raise AssertionError(f"{name} ended a link")
                 case Save(number, _):
                     self.saves.append((name, number))
@@ -140,7 +140,7 @@
                 if isinstance(message, LeaseGrant):
                     holder.granted, holder.ttl = message.number, message.ttl
         else:
-            self.told += Frames().feed(data)
+            self.told += FrameDecoder().feed(data)
 
     def _settle(self) -> None:
         """Deliver what was written on links, in order, and end writes to disk once nothing is on its way."""
@@ -150,7 +150,7 @@
                 self._carry(name, self.nodes[name].saved(self.now, number, ""))
                 continue
             name, link, data = self.queue.popleft()
-            if name == DRIVER and any(isinstance(one, Surveyed) for one in Frames().feed(data)):
+            if name == DRIVER and any(isinstance(one, Surveyed) for one in FrameDecoder().feed(data)):
                 self.surveyed_bytes = len(data)
             self._carry(name, list(self.nodes[name].data(self.now, link, data)))
 
@@ -170,10 +170,10 @@
     # ---- holders
 
     def _join(self, name: str) -> None:
-        link = self.measured.number()
+        link = self.measured.new_link_number()
         self.holders[link] = StandInHolder(name, link)
         self._carry(MEASURED, list(self.measured.accepted(self.now, link)))
-        hello = Hello(VERSION, FLEET, name, 1, self.voters, LEASE, self.sub_lease)
+        hello = Hello(PROTOCOL_VERSION, FLEET, name, 1, self.voters, LEASE, self.sub_lease)
         self._carry(MEASURED, list(self.measured.data(self.now, link, encode(hello))))
 
     def round(
@@ -205,9 +205,9 @@
     def propose(self, change: str, text: bytes) -> None:
         """An operator at the driver wants it."""
         if not self.operator_link:
-            self.operator_link = self.driver.number()
+            self.operator_link = self.driver.new_link_number()
             self._carry(DRIVER, list(self.driver.accepted(self.now, self.operator_link)))
-            hello = Hello(VERSION, FLEET, "", 0, (), 0.0)
+            hello = Hello(PROTOCOL_VERSION, FLEET, "", 0, (), 0.0)
             self._carry(DRIVER, list(self.driver.data(self.now, self.operator_link, encode(hello))))
         wanted = encode(Set(change, text, PATIENCE))
         self._carry(DRIVER, list(self.driver.data(self.now, self.operator_link, wanted)))
--- a/banklift/rig/exhaustive_voter.py
+++ b/banklift/rig/exhaustive_voter.py
@@ -41,7 +41,7 @@
     Rejoined,
 )
 from banklift.fleet.register import BLANK, VOTING, Proposal, Record, Rejoining
-from banklift.fleet.state import State, found
+from banklift.fleet.state import State, initial_state
 
 FLEET = "small"
 VOTERS = ("v0", "v1", "v2")
@@ -172,7 +172,7 @@
 def first_state(name: str, tries: int, keeps_disk: bool, habits: Habits) -> VoterState:
     """A voter of a fleet that has begun: all have accepted the first state and vote."""
     incarnations = dict.fromkeys(VOTERS, 1)
-    first = found(FLEET, b"")
+    first = initial_state(FLEET, b"")
     record = Record(FLEET, name, 1, FIRST_BALLOT, FIRST_BALLOT, first, incarnations, incarnations)
     tries = tries if name in CHANGES else 0
     return VoterState(record, (record,) if keeps_disk else (), keeps_disk, tries, habits, FIRST_BALLOT)
@@ -180,7 +180,7 @@
 
 def append_change(name: str, state: State | None) -> State:
     """The change of this proposer; made before, it leaves the state as it is, as `state.propose` does."""
-    base = state or found(FLEET, b"")
+    base = state or initial_state(FLEET, b"")
     if CHANGES[name] in base.policy:
         return base
     return msgspec.structs.replace(base, version=base.version + 1, policy=base.policy + CHANGES[name])
@@ -215,7 +215,7 @@
     """It ends and starts again, with this on its disk."""
     base = disk.record or Record(FLEET, voter.name, 0)
     incarnation = voter.record.incarnation + 1  # taken from a clock, so newer also than what a lost disk held
-    known = register.merged(base.incarnations, {voter.name: incarnation})
+    known = register.merge_incarnations(base.incarnations, {voter.name: incarnation})
     record = msgspec.structs.replace(base, incarnation=incarnation, incarnations=known)
     lost = disk.record is None
     held = () if lost else (*(one for one in voter.disk if one != base), base)
@@ -277,7 +277,7 @@
 
     def start(self) -> None:
         assert self.rejoining is not None
-        if (done := self.rejoining.done()) is not None:
+        if (done := self.rejoining.recovered_record()) is not None:
             self._vote(done)
             return
         self._ask_all(self.rejoining)
@@ -321,7 +321,7 @@
 
     def _change(self, state: State | None) -> State:
         if self.read:
-            return state or found(FLEET, b"")
+            return state or initial_state(FLEET, b"")
         return append_change(self.name, state)
 
     def _vote_on(self, sender: str, message: Prepare | Accept) -> None:
@@ -350,16 +350,16 @@
             return
         match message:
             case Promise():
-                accept = proposal.promised(sender, message)
+                accept = proposal.handle_promise(sender, message)
                 if accept is not None:
                     self._all(accept)
             case Accepted():
-                state = proposal.accepted(sender, message)
+                state = proposal.handle_accepted(sender, message)
                 if state is not None:
                     self.proposal, self.told = None, self.told or not self.read
                     self.events.append(Told(self.name, self.read, proposal.ballot, state))
             case Nack():
-                if proposal.nack(message):
+                if proposal.handle_nack(message):
                     self.proposal = None
 
     def _rejoin(self, sender: str, message: Rejoin) -> None:
@@ -377,9 +377,9 @@
         own = self.rejoining
         if own is None:
             return
-        done = own.answered(sender, message)
-        if own.outlived:
-            own.again(own.outlived + 1)
+        done = own.handle_answer(sender, message)
+        if own.newer_incarnation:
+            own.restart(own.newer_incarnation + 1)
             self._ask_all(own)
         elif done is not None:
             self._vote(done)
@@ -421,7 +421,7 @@
         if own.state is not None:
             known: dict[str, int] = {}
             for promise in own.promises.values():
-                known = register.merged(known, promise.incarnations)
+                known = register.merge_incarnations(known, promise.incarnations)
             promises = {self.name: Promise(own.ballot, NO_BALLOT, None, known)}
         accepts = {name: own.accepts[name] for name in sorted(own.accepts)}
         return ProposalState(own.ballot, self.read, promises, accepts, own.state)
--- a/banklift/rig/operator.py
+++ b/banklift/rig/operator.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 
 from banklift.fleet.messages import (
-    VERSION,
+    PROTOCOL_VERSION,
     Bye,
-    Frames,
-    Garbage,
+    FrameDecoder,
     Hello,
     Message,
     Progress,
+    ProtocolError,
     Role,
     Set,
     Show,
@@ -25,17 +25,17 @@
 
     def __init__(self, fleet: str, message: Set | Show, told: Callable[[Message | None], object]) -> None:
         self.fleet, self.message, self.told = fleet, message, told
-        self.frames, self.over = Frames(), False
+        self.frames, self.over = FrameDecoder(), False
 
     def up(self, handle: Handle) -> None:
         self.handle = handle
-        hello = Hello(VERSION, self.fleet, "", 0, (), 0.0, role=Role.OPERATOR)
+        hello = Hello(PROTOCOL_VERSION, self.fleet, "", 0, (), 0.0, role=Role.OPERATOR)
         handle.send(encode(hello) + encode(self.message))
 
     def data(self, data: bytes) -> None:
         try:
             messages = self.frames.feed(data)
-        except Garbage:
+        except ProtocolError:
             messages = [Bye("garbage")]
         for message in messages:
             if not self.over and not isinstance(message, Hello | Progress):
--- a/banklift/rig/world.py
+++ b/banklift/rig/world.py
@@ -357,7 +357,7 @@
         if host is None:
             return False
         node = host.node
-        return isinstance(node, Node) and node.voter is not None and node.voter.in_step
+        return isinstance(node, Node) and node.voter is not None and node.voter.has_read_register
 
     def serving(self) -> dict[str, int]:
         """Who may take requests now, under which epoch."""
--- a/banklift/rig/world_judge.py
+++ b/banklift/rig/world_judge.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from banklift.fleet.messages import Ended, Frames, LeaseGrant, Message, NotProposed
+from banklift.fleet.messages import Ended, FrameDecoder, LeaseGrant, Message, NotProposed
 from banklift.fleet.register import majority
 from banklift.fleet.state import Outcome, Result, Stage, digest
 
@@ -197,13 +197,13 @@
 
     def sent(self, now: float, grantor: Process, holder: Process, data: bytes) -> None:
         """A voter or an aggregator has sent this to who leases from it."""
-        for message in Frames().feed(data):
+        for message in FrameDecoder().feed(data):
             if isinstance(message, LeaseGrant):
                 self._granted(now, grantor, holder, message)
 
     def _granted(self, now: float, grantor: Process, holder: Process, grant: LeaseGrant) -> None:
         """A holder counts it from before this moment on, and `drift` less of it."""
-        ends = ((grant.epoch, grant.ttl), (grant.next_epoch, grant.next_ttl))
+        ends = ((grant.epoch, grant.ttl), (grant.next_epoch, grant.next_epoch_ttl))
         for epoch, length in ends:
             if not epoch or length <= 0:
                 continue
--- a/tests/fake_members.py
+++ b/tests/fake_members.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterator
 from contextlib import ExitStack, contextmanager
 
-from banklift.fleet.messages import VERSION, Frames, Hello, Message, encode
+from banklift.fleet.messages import PROTOCOL_VERSION, FrameDecoder, Hello, Message, encode
 
 Reply = Callable[[Message], list[Message]]  # what is said to each message but the operator's `Hello`
 PATIENCE = 60.0  # seconds after which a test that hangs ends
@@ -20,7 +20,7 @@
         self, name: str, reply: Reply, silent: bool = False, greeting: Message | None = None
     ) -> None:
         self.reply, self.silent = reply, silent
-        self.greeting = greeting or Hello(VERSION, "game", name, 1, (), 0.0)
+        self.greeting = greeting or Hello(PROTOCOL_VERSION, "game", name, 1, (), 0.0)
         self.heard: list[Message] = []
         self._listener = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self._listener.getsockname()[1]}"
@@ -42,7 +42,7 @@
                 connection.close()
 
     def _talk(self, connection: socket.socket) -> None:
-        frames = Frames()
+        frames = FrameDecoder()
         while data := connection.recv(65536):
             for message in frames.feed(data):
                 self.heard.append(message)
--- a/tests/test_aggregator.py
+++ b/tests/test_aggregator.py
@@ -14,7 +14,7 @@
 from banklift.fleet.holder import SendToGrantor
 from banklift.fleet.lease_table import LeaseTable, closing_lease
 from banklift.fleet.messages import LeaseGrant, LeaseRelease, LeaseRequest, RenewNow
-from banklift.fleet.state import State, agree, found, propose, settle
+from banklift.fleet.state import State, agree, initial_state, propose, settle
 
 LEASE, SUB_LEASE, DRIFT = 3.0, 2.0, 0.01
 VOTERS = ("v0", "v1", "v2")
@@ -30,7 +30,7 @@
 
     def __init__(self) -> None:
         self.tables = {name: LeaseTable(LEASE, DRIFT) for name in VOTERS}
-        self.state = found("fleet", b"first")
+        self.state = initial_state("fleet", b"first")
         self.aggregator = Aggregator(VOTERS, LEASE, SUB_LEASE, DRIFT, Random(1))
         self.announced: list[AnnounceRenewal] = []
         self.numbers: dict[str, int] = {}  # number of the last request of each router
@@ -255,7 +255,7 @@
     grant = tier.request(0.62, change=change)
     assert (grant.epoch, grant.next_epoch) == (1, 2)
     switch_at = min(table.switch_at for table in tier.tables.values())
-    assert 0.62 + grant.ttl * (1 + DRIFT) <= switch_at <= 0.62 + grant.begin
+    assert 0.62 + grant.ttl * (1 + DRIFT) <= switch_at <= 0.62 + grant.next_begins_in
 
 
 def test_only_the_new_epoch_is_granted_after_the_switch() -> None:
--- a/tests/test_cli_fleet.py
+++ b/tests/test_cli_fleet.py
@@ -17,7 +17,7 @@
 from banklift.cli.main import app
 from banklift.config.load import EXAMPLE, evaluate
 from banklift.fleet.messages import (
-    VERSION,
+    PROTOCOL_VERSION,
     Bye,
     Ended,
     Hello,
@@ -243,7 +243,7 @@
     ):
         assert line in lines, lines
     hello = members["v0"].heard[0]
-    assert isinstance(hello, Hello) and hello.role is Role.OPERATOR and hello.version == VERSION
+    assert isinstance(hello, Hello) and hello.role is Role.OPERATOR and hello.version == PROTOCOL_VERSION
 
 
 def test_json_keeps_its_keys_and_has_more(tmp_path: Path) -> None:
--- a/tests/test_exhaustive.py
+++ b/tests/test_exhaustive.py
@@ -186,7 +186,7 @@
     if message.ballot != self.ballot or self.state is not None or voter not in self.voters:
         return None
     self.promises[voter] = message
-    sound = self.consistent(self.promises)
+    sound = self.voters_of_newest_incarnation(self.promises)
     if len(sound) < majority(len(self.voters)):
         return None
     self.state = self.change(self.promises[sound[0]].state)
@@ -214,8 +214,8 @@
     [
         (register, "accept", forgets_its_promise, Budget(), 8),
         (register, "majority", half, Budget(), 2),
-        (Rejoining, "done", votes_at_once, Budget(crashes=1), 9),
-        (Proposal, "promised", takes_the_first_promise, Budget(), 8),
+        (Rejoining, "recovered_record", votes_at_once, Budget(crashes=1), 9),
+        (Proposal, "handle_promise", takes_the_first_promise, Budget(), 8),
     ],
     ids=["forgets its promise", "half", "votes at once", "first promise"],
 )
@@ -230,7 +230,7 @@
 
 
 def test_a_restart_that_votes_at_once_is_found_with_a_disk_rolled_back(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(Rejoining, "done", votes_at_once)
+    monkeypatch.setattr(Rejoining, "recovered_record", votes_at_once)
     report = explore(Budget(crashes=1))
     assert report.counterexample is not None
     assert any("rolled back" in step for step in report.counterexample.path)
@@ -316,7 +316,7 @@
 
 
 def test_ignored_incarnations_break_the_chain_of_five_voters(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(Proposal, "consistent", ignores_incarnations)
+    monkeypatch.setattr(Proposal, "voters_of_newest_incarnation", ignores_incarnations)
     five = a_promise_of_before_a_crash(monkeypatch)
     for other in ("v2", "v4"):
         five.asked("v1", other, Accept, Accepted)
@@ -324,7 +324,7 @@
 
 
 def test_ignored_incarnations_do_no_harm_with_three_voters_and_one_crash(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(Proposal, "consistent", ignores_incarnations)
+    monkeypatch.setattr(Proposal, "voters_of_newest_incarnation", ignores_incarnations)
     report = explore(Budget(crashes=1))
     assert report.counterexample is None
     assert report.complete
--- a/tests/test_fleet_daemon.py
+++ b/tests/test_fleet_daemon.py
@@ -18,7 +18,7 @@
 
 from banklift.config.load import EXAMPLE, evaluate
 from banklift.fleet.links import Write
-from banklift.fleet.messages import VERSION, Frames, Hello, RenewNow, encode
+from banklift.fleet.messages import PROTOCOL_VERSION, FrameDecoder, Hello, RenewNow, encode
 from banklift.fleet.node import Node
 from banklift.fleet.placement import choose
 from banklift.fleet.plan import Plan
@@ -103,7 +103,7 @@
         self.name, self.notes = name, notes
 
     def send(self, data: bytes) -> None:
-        for message in Frames().feed(data):
+        for message in FrameDecoder().feed(data):
             self.notes.append(f"{self.name}: {type(message).__name__}")
 
     def finish(self, away: bool = False) -> None:
@@ -161,7 +161,7 @@
     host.start()
     for name in ("v0", "v1"):  # the link to v2 never comes up
         env.peers[name].up(env.handles[name])
-        env.peers[name].data(encode(Hello(VERSION, "game", name, 1, plan.voters, 9.0, 0.0)))
+        env.peers[name].data(encode(Hello(PROTOCOL_VERSION, "game", name, 1, plan.voters, 9.0, 0.0)))
     env.notes.clear()
     told = host.leave()
     assert env.notes == [
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -10,12 +10,12 @@
 from banklift.fleet.actions import LogLine
 from banklift.fleet.holder import EpochAdopted, LeaseExtended, SendToGrantor
 from banklift.fleet.lease import LeaseClient
-from banklift.fleet.links import Dial, Shut, Write
+from banklift.fleet.links import CloseLink, Dial, Write
 from banklift.fleet.member import Action, Member
 from banklift.fleet.messages import (
-    VERSION,
+    PROTOCOL_VERSION,
     Bye,
-    Frames,
+    FrameDecoder,
     Hello,
     LeaseGrant,
     LeaseRelease,
@@ -41,21 +41,21 @@
         "epoch": 1,
         "ttl": SUB_LEASE,
         "next_epoch": 0,
-        "begin": 0.0,
-        "next_ttl": 0.0,
+        "next_begins_in": 0.0,
+        "next_epoch_ttl": 0.0,
         "digests": (digest(POLICY), ""),
         "version": 1,
         "change": "",
         "stage": "",
         "dry": False,
-        "subject": "",
+        "change_digest": "",
         "policies": (POLICY,),
     }
     return LeaseGrant(**{**defaults, **fields})  # type: ignore[arg-type]
 
 
 def hello(name: str, role: Role, incarnation: int = 1, lease: float = LEASE) -> Hello:
-    return Hello(VERSION, "fleet", name, incarnation, PLAN.voters, lease, SUB_LEASE, role)
+    return Hello(PROTOCOL_VERSION, "fleet", name, incarnation, PLAN.voters, lease, SUB_LEASE, role)
 
 
 class MemberDriver:
@@ -64,7 +64,7 @@
     def __init__(self, member: Member) -> None:
         self.member, self.now = member, 100.0
         self.links: dict[str, int] = {}
-        self.frames: dict[int, Frames] = {}
+        self.frames: dict[int, FrameDecoder] = {}
         self.sent_messages: list[tuple[int, Message]] = []
         self.other_actions: list[Action] = []
         self.closed_links: list[int] = []
@@ -76,9 +76,9 @@
                 case Dial(link, peer):
                     self.links[peer] = link
                 case Write(link, data):
-                    messages = self.frames.setdefault(link, Frames()).feed(data)
+                    messages = self.frames.setdefault(link, FrameDecoder()).feed(data)
                     self.sent_messages += [(link, message) for message in messages]
-                case Shut(link):
+                case CloseLink(link):
                     self.closed_links.append(link)
                 case _:
                     self.other_actions.append(action)
@@ -91,7 +91,7 @@
 
     def accept(self, message: Hello) -> int:
         """Another member dials this one and says `Hello`; returns the number of the link."""
-        link = self.member.number()
+        link = self.member.new_link_number()
         self.carry_out(self.member.accepted(self.now, link))
         self.receive(link, message)
         return link
@@ -191,8 +191,8 @@
         number,
         ttl=0.2,
         next_epoch=2,
-        begin=0.3,
-        next_ttl=0.3 + SUB_LEASE,
+        next_begins_in=0.3,
+        next_epoch_ttl=0.3 + SUB_LEASE,
         digests=(digest(POLICY), digest(b"second")),
         policies=(b"second",),
     )
@@ -313,7 +313,7 @@
 def test_frames_are_decoded_from_pieces_of_any_size(size: int) -> None:
     messages = [RenewNow(f"{number}-x", "y" * (7 * number % 400)) for number in range(60)]
     sent = b"".join(encode(message) for message in messages)
-    frames = Frames()
+    frames = FrameDecoder()
     decoded = [
         message for start in range(0, len(sent), size) for message in frames.feed(sent[start : start + size])
     ]
@@ -375,7 +375,7 @@
 def test_the_gap_between_two_epochs_is_not_logged_as_a_loss_of_leases() -> None:
     def logged(next_begin: float) -> list[str]:
         client = lone_client(LEASE)
-        terms = grant(1, ttl=0.5, next_epoch=2, begin=next_begin, next_ttl=next_begin + 0.1)
+        terms = grant(1, ttl=0.5, next_epoch=2, next_begins_in=next_begin, next_epoch_ttl=next_begin + 0.1)
         client.granted(0.0, "v0", msgspec.structs.replace(terms, digests=(digest(POLICY),) * 2))
         assert client.serving == 1
         actions = client.wake(0.55)
--- a/tests/test_fleet_planted.py
+++ b/tests/test_fleet_planted.py
@@ -239,10 +239,10 @@
 def vote_at_once_after_a_start(patch: Patch) -> None:
     """A voter votes after a start without asking the others what it may have promised."""
 
-    def done(self: Rejoining) -> Record | None:
+    def recovered_record(self: Rejoining) -> Record | None:
         return self.record
 
-    patch.setattr(Rejoining, "done", done)
+    patch.setattr(Rejoining, "recovered_record", recovered_record)
 
 
 def repeated_change_made_twice(patch: Patch) -> None:
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -15,12 +15,12 @@
     agree,
     digest,
     find_outcome,
-    found,
+    initial_state,
     propose,
     settle,
 )
 
-FIRST_STATE = found("f", b"one")
+FIRST_STATE = initial_state("f", b"one")
 
 
 def proposed(
--- a/tests/test_lease_table.py
+++ b/tests/test_lease_table.py
@@ -11,7 +11,7 @@
 from banklift.fleet.holder_table import Entry
 from banklift.fleet.lease_table import LeaseTable, closing_lease
 from banklift.fleet.messages import LeaseGrant, LeaseRelease, LeaseRequest
-from banklift.fleet.state import State, agree, digest, found, propose, settle
+from banklift.fleet.state import State, agree, digest, initial_state, propose, settle
 
 LEASE, DRIFT = 10.0, 0.01
 SHORT = closing_lease(LEASE)  # seconds
@@ -23,7 +23,7 @@
 
     def __init__(self, count: int) -> None:
         self.table = LeaseTable(LEASE, DRIFT)
-        self.state = found("fleet", b"first")
+        self.state = initial_state("fleet", b"first")
         self.table.apply_state(0.0, self.state)
         self.names = [f"r{number}" for number in range(count)]
         self.numbers = dict.fromkeys(self.names, 0)  # number of the last request of each holder
@@ -203,10 +203,10 @@
     holders.request(10.1, "r0", change=change)
     holders.table.release(10.1, "r0", 1, LeaseRelease(longer_lease))
     grant = holders.request(10.1, "r0", change=change)
-    assert grant.next_epoch == 2 and grant.begin > 2 * SHORT
+    assert grant.next_epoch == 2 and grant.next_begins_in > 2 * SHORT
     restarted = LeaseTable(LEASE, DRIFT)
     restarted.restarted(10.1, settle(holders.state, change))
-    assert restarted.all_known_at >= 10.1 + grant.next_ttl * (1 + DRIFT)
+    assert restarted.all_known_at >= 10.1 + grant.next_epoch_ttl * (1 + DRIFT)
 
 
 def test_a_change_does_not_wait_for_released_leases() -> None:
