--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -127,14 +127,14 @@
         self.handle(Probed("p", True, 0.001, Report(position=self.now, primary=True)))
 
 
-def of(action_type: type[A], actions: Iterable[Action]) -> list[A]:
+def actions_of_type(action_type: type[A], actions: Iterable[Action]) -> list[A]:
     """Return the actions of one type."""
     return [action for action in actions if isinstance(action, action_type)]
 
 
 def targets(actions: Iterable[Action]) -> list[str]:
     """Return the members that requests are sent to."""
-    return [action.member for action in of(Send, actions)]
+    return [action.member for action in actions_of_type(Send, actions)]
 
 
 # ---- routing
@@ -152,10 +152,11 @@
     driver.report_positions()
     driver.now += 5.0
     actions = driver.request("loose")
-    (first,) = (probe.member for probe in of(Probe, actions))
-    assert first != "p" and not of(Send, actions)
+    (first,) = (probe.member for probe in actions_of_type(Probe, actions))
+    assert first != "p" and not actions_of_type(Send, actions)
     actions = driver.handle(Probed(first, True, 0.001, Report(driver.now, False, in_flight=13.0)))
-    (second,) = (probe.member for probe in of(Probe, actions))  # probed only because the first is crowded
+    # probed only because the first is crowded
+    (second,) = (probe.member for probe in actions_of_type(Probe, actions))
     assert targets(driver.handle(Probed(second, True, 0.001, Report(driver.now, False, in_flight=5.0)))) == [
         second
     ]
@@ -165,9 +166,9 @@
     driver = Driver()
     driver.report_positions()
     driver.now += 5.0
-    (first,) = (probe.member for probe in of(Probe, driver.request("loose")))
+    (first,) = (probe.member for probe in actions_of_type(Probe, driver.request("loose")))
     actions = driver.handle(Probed(first, True, 0.001, Report(driver.now, False, in_flight=0.0)))
-    assert targets(actions) == [first] and not of(Probe, actions)
+    assert targets(actions) == [first] and not actions_of_type(Probe, actions)
 
 
 def test_as_load_grows_what_is_worth_least_for_its_work_goes_first() -> None:
@@ -202,8 +203,8 @@
     driver = Driver()
     driver.report_positions()
     driver.now += 5.0
-    (first,) = (probe.member for probe in of(Probe, driver.request("loose")))
-    (second,) = (probe.member for probe in of(Probe, driver.run(0.1)))
+    (first,) = (probe.member for probe in actions_of_type(Probe, driver.request("loose")))
+    (second,) = (probe.member for probe in actions_of_type(Probe, driver.run(0.1)))
     assert second != first
     assert targets(driver.handle(Probed(second, True, 0.001, Report(driver.now, False)))) == [second]
 
@@ -215,7 +216,7 @@
         driver.handle(Probed(name, True, 0.001, Report(driver.now, name == "p", in_flight=load)))
     assert {target for _ in range(9) for target in targets(driver.request("loose"))} == {"r3"}
     driver.request("write")
-    assert of(Refuse, driver.run(2.0))
+    assert actions_of_type(Refuse, driver.run(2.0))
 
 
 def test_a_primary_whose_position_stands_still_gets_no_write_though_it_answers_probes() -> None:
@@ -223,10 +224,10 @@
     driver.report_positions()
     stalled_at = driver.now
     driver.now += 3.0
-    assert [probe.member for probe in of(Probe, driver.request("write"))] == ["p"]
+    assert [probe.member for probe in actions_of_type(Probe, driver.request("write"))] == ["p"]
     actions = driver.handle(Probed("p", True, 0.001, Report(stalled_at, True)))
-    assert not of(Send, actions)
-    assert {"r1", "r2", "r3"} <= {probe.member for probe in of(Probe, driver.run(0.3))}
+    assert not actions_of_type(Send, actions)
+    assert {"r1", "r2", "r3"} <= {probe.member for probe in actions_of_type(Probe, driver.run(0.3))}
     assert targets(driver.handle(Probed("r2", True, 0.001, Report(driver.now, True)))) == ["r2"]
 
 
@@ -306,8 +307,8 @@
     driver.report_positions()
     driver.request("write", time_left)
     driver.answer(1, "p", Status.CONNECT_FAILED)
-    assert not of(Refuse, driver.run(0.3 * time_left))
-    (refused,) = of(Refuse, driver.run(0.2 * time_left))
+    assert not actions_of_type(Refuse, driver.run(0.3 * time_left))
+    (refused,) = actions_of_type(Refuse, driver.run(0.2 * time_left))
     assert refused.retry_after == SETTINGS.max_retry_after
 
 
@@ -318,7 +319,7 @@
     driver.answer(1, "p", Status.MISS, primary=False)
     for attempt, replica in enumerate(("r1", "r2", "r3"), 1):
         driver.answer(1, replica, Status.MISS, attempt, primary=False)
-    assert not of(Refuse, driver.run(1.2)) and of(Refuse, driver.run(0.6))
+    assert not actions_of_type(Refuse, driver.run(1.2)) and actions_of_type(Refuse, driver.run(0.6))
 
 
 def test_without_known_roles_a_write_tries_each_member_in_turn_then_waits() -> None:
@@ -329,7 +330,7 @@
     for attempt in range(4):
         tried += targets(driver.answer(1, tried[-1], Status.MISS, attempt, primary=False))
     assert sorted(tried) == ["p", "r1", "r2", "r3"]
-    assert not of(Refuse, [action for _, action in driver.log])
+    assert not actions_of_type(Refuse, [action for _, action in driver.log])
 
 
 def test_an_older_report_does_not_undo_a_newer_answer() -> None:
@@ -365,14 +366,14 @@
 
 @pytest.mark.parametrize("time_left", [-1.0, 0.0])
 def test_a_deadline_already_past_is_answered_at_once(time_left: float) -> None:
-    assert of(Refuse, Driver().request("loose", time_left=time_left))
+    assert actions_of_type(Refuse, Driver().request("loose", time_left=time_left))
 
 
 def test_no_list_yet_and_unknown_classes_are_answered() -> None:
     driver = Driver(members=[])
-    assert of(Refuse, driver.request("no-such-class"))
+    assert actions_of_type(Refuse, driver.request("no-such-class"))
     driver.request("loose", time_left=0.5)
-    assert of(Refuse, driver.run(0.5))
+    assert actions_of_type(Refuse, driver.run(0.5))
 
 
 @pytest.mark.parametrize("status", [Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED])
@@ -381,7 +382,11 @@
     driver.report_positions()
     driver.request("write")
     actions = driver.answer(1, "p", status)
-    assert of(Fail, actions) and not of(Send, actions) and not of(Refuse, actions)
+    assert (
+        actions_of_type(Fail, actions)
+        and not actions_of_type(Send, actions)
+        and not actions_of_type(Refuse, actions)
+    )
 
 
 def test_an_unsafe_request_that_never_ran_is_refused_at_its_end() -> None:
@@ -389,7 +394,7 @@
     driver.report_positions()
     driver.request("write")
     driver.answer(1, "p", Status.CONNECT_FAILED)
-    assert of(Refuse, driver.run(2.0)) == [Refuse(1, 1.0)]
+    assert actions_of_type(Refuse, driver.run(2.0)) == [Refuse(1, 1.0)]
 
 
 def test_a_keyed_request_is_resent_only_within_its_window() -> None:
@@ -416,7 +421,7 @@
     driver.report_positions()
     first = targets(driver.request("loose"))[0]
     second = targets(driver.answer(1, first, Status.ERROR))[0]
-    assert of(Refuse, driver.answer(1, second, Status.ERROR, attempt=1))
+    assert actions_of_type(Refuse, driver.answer(1, second, Status.ERROR, attempt=1))
 
 
 @pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
@@ -483,8 +488,8 @@
         driver.request("write")
     driver.run(1.5)
     actions = driver.request("write")
-    assert not of(Send, actions)
-    assert {probe.member for probe in of(Probe, driver.run(0.3))} >= {"r1", "r2", "r3"}
+    assert not actions_of_type(Send, actions)
+    assert {probe.member for probe in actions_of_type(Probe, driver.run(0.3))} >= {"r1", "r2", "r3"}
 
 
 def test_safe_attempts_are_moved_away_from_a_silent_member() -> None:
@@ -492,7 +497,7 @@
     driver.report_positions()
     for _ in range(15):
         driver.request("loose")
-    assert of(Cancel, driver.run(0.45))
+    assert actions_of_type(Cancel, driver.run(0.45))
 
 
 def test_if_all_members_look_unhealthy_health_is_ignored() -> None:
@@ -505,10 +510,10 @@
 
 def test_the_watch_is_renewed_after_errors_with_growing_waits() -> None:
     driver = Driver(replace(SETTINGS, must_ask=True, ask_within=10.0))
-    assert of(Watch, [action for _, action in driver.log])
-    waits = [of(SetTimer, driver.handle(Listing(ListKind.FAILED)))[0].delay for _ in range(6)]
+    assert actions_of_type(Watch, [action for _, action in driver.log])
+    waits = [actions_of_type(SetTimer, driver.handle(Listing(ListKind.FAILED)))[0].delay for _ in range(6)]
     assert waits[0] < waits[-1] < 10.0
-    assert of(Watch, driver.run(10.0))
+    assert actions_of_type(Watch, driver.run(10.0))
 
 
 def test_late_and_unknown_events_do_no_harm() -> None:
@@ -523,7 +528,7 @@
         Outcome(77, 0, "p", Status.OK, True, 0.1),
         Outcome(77, 3, "nobody", Status.ERROR, False, 0.1),
     ):
-        assert not of(Send, driver.handle(event))
+        assert not actions_of_type(Send, driver.handle(event))
 
 
 def test_the_same_events_give_the_same_actions_whatever_the_hash_seed() -> None:
@@ -574,7 +579,7 @@
         if random.random() < 0.6 or not in_flight:
             if random.random() < 0.2:
                 driver.report_positions()
-            sends = of(Send, driver.request(random.choice(("loose", "own", "write", "keyed"))))
+            sends = actions_of_type(Send, driver.request(random.choice(("loose", "own", "write", "keyed"))))
         else:
             request, attempt, member = in_flight.pop(random.randrange(len(in_flight)))
             status = random.choice(
@@ -588,7 +593,7 @@
                     Status.CONNECT_FAILED,
                 )
             )
-            sends = of(
+            sends = actions_of_type(
                 Send, driver.handle(Outcome(request, attempt, member, status, status is Status.OK, 0.01))
             )
         for send in sends:
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -34,7 +34,7 @@
 from banklift.adapter import parse_settings
 from banklift.balance import FAILURE_MEMORY_SHORTEST_AIMS, SMALL_FLEET_ROUTERS
 from tests.platform_site import SETTINGS as PLATFORM
-from tests.test_balance import SETTINGS, Driver, of
+from tests.test_balance import SETTINGS, Driver, actions_of_type
 
 ROUTERS = 200
 RATE = 110.0  # requests a second by all clients together
@@ -62,7 +62,8 @@
         self.primary = "p"
         self.draining: set[str] = set()
         self.free: dict[str, float] = defaultdict(float)  # when each member has answered all that it has
-        self.sent: dict[str, deque[float]] = {}  # times of what each member was sent within the fall time
+        # times of what each member was sent within the fall time
+        self.sent_times: dict[str, deque[float]] = {}
         # highest load that a cold member was sent, as a fraction of what rule 4 allows
         self.max_cold_load = 0.0
         self.requested = Counter[str]()  # by class
@@ -134,22 +135,22 @@
 
     def held(self, member: str) -> float:
         """Requests that a member has, working or queued."""
-        return 4.0 + max(0.0, self.free[member] - self.now) * CAPACITY * self.part(member)
+        return 4.0 + max(0.0, self.free[member] - self.now) * CAPACITY * self.capacity_share(member)
 
-    def part(self, member: str) -> float:
+    def capacity_share(self, member: str) -> float:
         """Fraction of its capacity that a member has now."""
         return min(1.0, COLD_SHARE + (1 - COLD_SHARE) * (self.now - self.members[member]) / COLD_TIME)
 
     def send(self, router: int, request: int, member: str) -> None:
         """Let a member take, reject or time out a request."""
         class_name = self.classes[router, request]
-        sent = self.sent.setdefault(member, deque())
+        sent = self.sent_times.setdefault(member, deque())
         sent.append(self.now)
         self.sent_writes[member] += class_name == "write"
         while sent[0] < self.now - SETTINGS.fall_time:
             sent.popleft()
-        if self.part(member) < 1:
-            allowed = SETTINGS.fall_multiple * self.part(member) * CAPACITY * SETTINGS.fall_time
+        if self.capacity_share(member) < 1:
+            allowed = SETTINGS.fall_multiple * self.capacity_share(member) * CAPACITY * SETTINGS.fall_time
             self.max_cold_load = max(self.max_cold_load, len(sent) / allowed)
         number = sum(1 for tried in self.routers[router].requests[request].tried) - 1
         at = self.now
@@ -169,7 +170,7 @@
                 ),
             )
             return
-        self.free[member] = max(self.free[member], at) + 1 / (CAPACITY * self.part(member))
+        self.free[member] = max(self.free[member], at) + 1 / (CAPACITY * self.capacity_share(member))
         done = self.free[member] + SERVICE_TIME
         if done > at + 2.0:
             self.at(
@@ -234,15 +235,17 @@
     driver = Driver(replace(SETTINGS, balancers=ROUTERS))
     driver.request("write")
     driver.run(0.01)
-    (send,) = of(Send, driver.handle(Probed("p", True, 0.01, Report(driver.now, True, 2.0))))
+    (send,) = actions_of_type(Send, driver.handle(Probed("p", True, 0.01, Report(driver.now, True, 2.0))))
     driver.run(1.0)
     actions = driver.handle(Outcome(1, 0, send.member, Status.FULL, False, 0.002, True))
     actions += driver.run(0.1)
-    assert not of(Send, actions) and [probe.member for probe in of(Probe, actions)] == [send.member]
+    assert not actions_of_type(Send, actions) and [
+        probe.member for probe in actions_of_type(Probe, actions)
+    ] == [send.member]
     actions = driver.handle(Probed(send.member, True, 0.002, Report(driver.now, True, 90.0)))
-    assert not of(Send, actions + driver.run(0.1))
+    assert not actions_of_type(Send, actions + driver.run(0.1))
     actions = driver.handle(Probed(send.member, True, 0.002, Report(driver.now, True, 0.0)))
-    assert [send.member for send in of(Send, actions + driver.run(0.1))] == ["p"]
+    assert [send.member for send in actions_of_type(Send, actions + driver.run(0.1))] == ["p"]
 
 
 def test_a_small_fleet_probes_before_it_sends() -> None:
@@ -317,7 +320,7 @@
         delays = sorted(
             timer.delay
             for router in routers
-            for timer in of(SetTimer, router.handle(1000.0 + failure, Listing(ListKind.FAILED)))
+            for timer in actions_of_type(SetTimer, router.handle(1000.0 + failure, Listing(ListKind.FAILED)))
         )
         assert len(delays) == ROUTERS and delays[-1] <= 0.4 * settings.ask_within
         span = delays[-1] - delays[0]
@@ -336,13 +339,13 @@
     driver.request("write", 0.6)
     driver.run(0.005)
     actions = driver.handle(Probed("p", True, 0.005, Report(driver.now - 0.245, True, 2.0)))
-    assert [send.member for send in of(Send, actions)] == ["p"]
+    assert [send.member for send in actions_of_type(Send, actions)] == ["p"]
     driver.run(0.5)
     driver.request("write", 0.6)
     actions = driver.handle(
         Probed("p", True, 0.005, Report(driver.now - 0.5, True, 2.0))
     )  # now the position has stopped advancing
-    assert not of(Send, actions + driver.run(0.05))
+    assert not actions_of_type(Send, actions + driver.run(0.05))
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -353,7 +356,7 @@
     fleet.run(3.0)
     fleet.members["r3"], started = fleet.now, fleet.now  # it restarted, and is no primary
     fleet.primary = "nobody"
-    fleet.sent["r3"].clear()
+    fleet.sent_times["r3"].clear()
     fleet.sent_writes.clear()
     for router in range(ROUTERS):
         fleet.tell(
@@ -372,12 +375,12 @@
     driver = Driver(replace(SETTINGS, balancers=ROUTERS))
     driver.request("write")
     driver.run(0.01)
-    (send,) = of(Send, driver.handle(Probed("p", True, 0.01, Report(driver.now, True, 2.0))))
+    (send,) = actions_of_type(Send, driver.handle(Probed("p", True, 0.01, Report(driver.now, True, 2.0))))
     actions = driver.handle(Outcome(1, 0, send.member, status, False, 0.002))
     for _ in range(4):
         actions += driver.run(0.05)
     actions += driver.handle(Probed("p", True, 0.002, Report(driver.now, True, 0.0))) + driver.run(0.2)
-    assert [send.member for send in of(Send, actions)] == ["p"]
+    assert [send.member for send in actions_of_type(Send, actions)] == ["p"]
 
 
 def test_an_old_report_still_counts_as_load() -> None:
@@ -411,7 +414,7 @@
             ),
         )
     fleet.run(3.0)
-    assert len(fleet.sent["r3"]) > 20
+    assert len(fleet.sent_times["r3"]) > 20
     assert fleet.max_cold_load < 0.6  # 0.85 to 0.99 without probes
 
 
@@ -422,16 +425,16 @@
     driver = Driver(replace(SETTINGS, balancers=20, reports_load=reports_load))
     driver.report_positions()
     for _ in range(200):
-        sent = of(Send, driver.request("loose"))
+        sent = actions_of_type(Send, driver.request("loose"))
         if not sent:
             break
         driver.now += 0.45
         driver.handle(Outcome(driver.last_id, 0, sent[0].member, Status.OK, True, 0.45, position=driver.now))
     assert not sent and not any(member.in_flight for member in driver.balancer.members.values())
     driver.run(0.5)
-    assert not of(Send, driver.request("loose"))  # the members may still be as full as they were
+    assert not actions_of_type(Send, driver.request("loose"))  # the members may still be as full as they were
     driver.run(FAILURE_MEMORY_SHORTEST_AIMS * 0.5)
-    assert bool(of(Send, driver.request("loose"))) is not reports_load
+    assert bool(actions_of_type(Send, driver.request("loose"))) is not reports_load
 
 
 @pytest.mark.parametrize(
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -32,7 +32,7 @@
 from tests.platform_site import SETTINGS, Caller, Site, value
 from tests.surroundings import PATIENCE, pair, run
 from tests.test_balance import SETTINGS as MODULE_SETTINGS
-from tests.test_balance import of
+from tests.test_balance import actions_of_type
 from tests.test_rare_moments import draining, pushed
 from tests.test_service import Platform, platform
 
@@ -142,7 +142,7 @@
     """Thousands of failures correspond to an outage of hours."""
     balancer = Balancer(replace(MODULE_SETTINGS, must_ask=True, ask_within=ask_within), 1)
     for number in range(3000):
-        (timer,) = of(SetTimer, balancer.handle(1000.0 + 3 * number, Listing(ListKind.FAILED)))
+        (timer,) = actions_of_type(SetTimer, balancer.handle(1000.0 + 3 * number, Listing(ListKind.FAILED)))
         assert 0.0 < timer.delay <= 4.0
 
 
@@ -323,12 +323,12 @@
 
     def send(self, router: int, request: int, member: str) -> None:
         super().send(router, request, member)
-        share = self.part(member)
+        share = self.capacity_share(member)
         if share < 1:
             self.sent_to_cold += 1
             allowed = MODULE_SETTINGS.fall_multiple * share * test_crowd.CAPACITY * MODULE_SETTINGS.fall_time
             bound = allowed + 2 * math.sqrt(allowed) + 2
-            self.excess = max(self.excess, len(self.sent[member]) - bound)
+            self.excess = max(self.excess, len(self.sent_times[member]) - bound)
 
 
 @pytest.mark.parametrize("routers", [20, 30])
@@ -339,7 +339,7 @@
 ) -> None:
     """All members but one, the primary too, are replaced by cold ones during a burst of four times the usual load.
 
-    If the routers held nothing back (neither `open` nor `room`), all 18 cases would exceed the bound.
+    If the routers held nothing back (neither `admits` nor `has_capacity`), all 18 cases would exceed the bound.
     """
     monkeypatch.setattr(test_crowd, "CAPACITY", capacity)
     monkeypatch.setattr(test_crowd, "RATE", 2.4 * capacity)
