--- a/banklift/rig/capacity_grantor.py
+++ b/banklift/rig/capacity_grantor.py
@@ -18,12 +18,12 @@
 
 from banklift.fleet.aggregator_node import AggregatorNode
 from banklift.fleet.durable import Save
-from banklift.fleet.links import Dial, Shut, Write
+from banklift.fleet.links import CloseLink, Dial, Write
 from banklift.fleet.member import Action, Member
 from banklift.fleet.messages import (
-    VERSION,
+    PROTOCOL_VERSION,
     Ended,
-    Frames,
+    FrameDecoder,
     Hello,
     LeaseGrant,
     LeaseRequest,
@@ -72,7 +72,7 @@
     number: int = 0  # of its last request
     granted: int = 0  # number of the last request that was granted
     ttl: float = 0.0  # seconds of its newest lease
-    frames: Frames = field(default_factory=Frames)
+    frames: FrameDecoder = field(default_factory=FrameDecoder)
 
     def request(
         self, change: str, verdict: tuple[str, ...] | None, have: tuple[str, ...], epoch: int
@@ -129,14 +129,14 @@
         for action in actions:
             match action:
                 case Dial(link, peer):
-                    peer_link = self.nodes[peer].number()
+                    peer_link = self.nodes[peer].new_link_number()
                     self.other_ends[name, link] = (peer, peer_link)
                     self.other_ends[peer, peer_link] = (name, link)
                     self._perform(peer, list(self.nodes[peer].accepted(self.now, peer_link)))
                     self._perform(name, list(self.nodes[name].connected(self.now, link)))
                 case Write(link, data):
                     self._write(name, link, data)
-                case Shut(link):
+                case CloseLink(link):
                     raise AssertionError(f"{name} closed a link, which should not happen in this measurement")
                 case Save(number, _):
                     self.pending_saves.append((name, number))
@@ -151,7 +151,7 @@
                 if isinstance(message, LeaseGrant):
                     holder.granted, holder.ttl = message.number, message.ttl
         else:
-            self.operator_messages += Frames().feed(data)
+            self.operator_messages += FrameDecoder().feed(data)
 
     def _deliver_all(self) -> None:
         """Deliver what was written on links, in order. Writes to disk end once nothing is left to deliver."""
@@ -161,7 +161,7 @@
                 self._perform(name, self.nodes[name].saved(self.now, number, ""))
                 continue
             name, link, data = self.undelivered.popleft()
-            if name == DRIVER and any(isinstance(message, Surveyed) for message in Frames().feed(data)):
+            if name == DRIVER and any(isinstance(message, Surveyed) for message in FrameDecoder().feed(data)):
                 self.survey_answer_bytes = len(data)
             self._perform(name, list(self.nodes[name].data(self.now, link, data)))
 
@@ -182,10 +182,10 @@
 
     def _join(self, name: str) -> None:
         """A holder of this name opens a link to the measured grantor."""
-        link = self.measured.number()
+        link = self.measured.new_link_number()
         self.holders[link] = SimulatedHolder(name, link)
         self._perform(MEASURED, list(self.measured.accepted(self.now, link)))
-        hello = Hello(VERSION, FLEET_NAME, name, 1, self.voters, LEASE, self.sub_lease)
+        hello = Hello(PROTOCOL_VERSION, FLEET_NAME, name, 1, self.voters, LEASE, self.sub_lease)
         self._perform(MEASURED, list(self.measured.data(self.now, link, encode(hello))))
 
     def request_round(
@@ -223,9 +223,9 @@
     def propose(self, change: str, text: bytes) -> None:
         """An operator proposes this text to the driver. `change`: id of the change."""
         if not self.operator_link:
-            self.operator_link = self.driver.number()
+            self.operator_link = self.driver.new_link_number()
             self._perform(DRIVER, list(self.driver.accepted(self.now, self.operator_link)))
-            hello = Hello(VERSION, FLEET_NAME, "", 0, (), 0.0)
+            hello = Hello(PROTOCOL_VERSION, FLEET_NAME, "", 0, (), 0.0)
             self._perform(DRIVER, list(self.driver.data(self.now, self.operator_link, encode(hello))))
         proposal = encode(Set(change, text, CHANGE_TIMEOUT))
         self._perform(DRIVER, list(self.driver.data(self.now, self.operator_link, proposal)))
--- a/tests/fake_members.py
+++ b/tests/fake_members.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterator
 from contextlib import ExitStack, contextmanager
 
-from banklift.fleet.messages import VERSION, Frames, Hello, Message, encode
+from banklift.fleet.messages import PROTOCOL_VERSION, FrameDecoder, Hello, Message, encode
 
 Reply = Callable[[Message], list[Message]]  # makes the answers to a message other than the operator's `Hello`
 HANG_TIMEOUT_SECONDS = 60.0  # ends a test that hangs
@@ -25,7 +25,7 @@
     ) -> None:
         self.reply = reply
         self.silent = silent
-        self.greeting = greeting or Hello(VERSION, "game", name, 1, (), 0.0)
+        self.greeting = greeting or Hello(PROTOCOL_VERSION, "game", name, 1, (), 0.0)
         self.heard: list[Message] = []
         self._listener = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self._listener.getsockname()[1]}"
@@ -48,7 +48,7 @@
                 connection.close()
 
     def _answer_messages(self, connection: socket.socket) -> None:
-        frames = Frames()
+        frames = FrameDecoder()
         while data := connection.recv(65536):
             for message in frames.feed(data):
                 self.heard.append(message)
