--- a/banklift/judge/__init__.py
+++ b/banklift/judge/__init__.py
@@ -1,1 +1,1 @@
-"""Scripted days, taps, traces, and the five rules judged from what crossed the sockets."""
+"""Scripted scenarios ("days"), their recorded traces, and the judge that checks a trace against the five rules."""
--- a/banklift/judge/trace.py
+++ b/banklift/judge/trace.py
@@ -1,14 +1,20 @@
-"""What the taps record, one line of JSON each, all on one clock (seconds, monotonic).
-
-The first line is the head. Clients' end: `ask`, `answer`, `left`, `broke`. Members' end: `command`, `ran` (a write:
-what it put into which log), `reply` (with the place in the log that it was read at), `says` (a member tells a router
-its role; only changes), `line` (a member's log goes on as a line of its own from `offset` of `parent`), `cut`. From
-whoever plays the day: `told` (the roster says a member drains or is gone), `cold` (a member starts), `killed` and
-`stalled` (a router), `role` (a member is primary from now on, and its line), `end` (what a primary holds in the end;
-the last one: of everything).
-
-A request's number is written into its keys and values (`...:rid:17.0`), so both ends speak of the same one: before the
-dot the effect that the client wants, after it the client's try.
+"""The trace of a day: a file of JSON lines that records what crossed the sockets of clients and members.
+
+The first line is the head (`Head`), each further line is an `Entry`. All times are seconds on one monotonic clock.
+Kinds of entries (field `k`):
+
+- at the clients' sockets: `ask` (a request was sent), `answer`, `left` (the client gave up), `broke` (the connection
+  closed without an answer);
+- at the members' sockets: `command`, `reply` (with the log position of the member at that moment), `ran` (a write was
+  executed: the commands that it appended to the log), `says` (a member reported its role to a router; only changes are
+  recorded), `line` (the member began a new replication history at `offset` of `parent`), `cut` (a connection closed);
+- from the program that plays the day: `told` (the roster now lists a member as draining or gone, or as ready again),
+  `cold` (a member started without a warm cache), `killed` and `stalled` (a router), `role` (a member is primary from
+  now on, with its replication history), `end` (what a primary holds at the end of the day; the last one, without a
+  member, ends the whole trace).
+
+The client writes the request id into keys and values (`...:rid:17.0`), so that entries of both ends can be matched. The
+part before the dot numbers the effect that the client wants; the part after it counts the client's tries.
 """
 
 from __future__ import annotations
@@ -20,26 +26,28 @@
 
 
 class Head(msgspec.Struct, kw_only=True, omit_defaults=True):
-    """The figures that the rules are judged by, from the operator's file and the day."""
+    """First line of a trace: the bounds of the rules, from the operator's file and the day. Times are seconds."""
 
-    classes: dict[str, dict[str, float | str]]  # effect, need, aim, deadline, bound, worth
-    groups: dict[str, str]  # of each member
-    sources: list[str]  # addresses that routers connect from, in order
+    classes: dict[str, dict[str, float | str]]  # by name: effect, need, aim, deadline, bound, worth, window
+    groups: dict[str, str]  # name of the group, by name of the member
+    sources: list[str]  # local address from which each router connects to members, by number of the router
     drain_grace: float
-    told_within: float  # until a router has read a new roster
-    cold_share: float
-    cold_time: float
-    fall_multiple: float
-    fall_time: float
-    work: float  # seconds that a command takes
-    cores: int
-    start: float
+    told_within: float  # longest time until a router has read a new roster
+    cold_share: float  # share of its capacity that a member has at its start
+    cold_time: float  # until a member that started has its full capacity
+    fall_multiple: float  # multiple of its capacity that a member bears
+    fall_time: float  # window over which that multiple is taken
+    work: float  # CPU seconds of one command
+    cores: int  # of each member
+    start: float  # when clients began
     seed: int
-    crossing: float = 0.15  # seconds that the two ends may see the same moment apart
+    crossing: float = 0.15  # largest difference between the times that both ends record for one event
 
 
 class Entry(msgspec.Struct, kw_only=True, omit_defaults=True):
-    t: float
+    """One event of a trace; which fields are set depends on its kind `k`."""
+
+    t: float  # seconds
     k: Literal[
         "ask",
         "answer",
@@ -58,30 +66,31 @@
         "line",
         "end",
     ]
-    rid: str = ""
-    kind: str = ""  # class
-    router: int = -1
+    rid: str = ""  # request id, "effect.try"
+    kind: str = ""  # class of the request
+    router: int = -1  # number of the router; -1: none
     member: str = ""
-    conn: int = 0
-    patience: float = 0.0
-    session: int = -1
+    conn: int = 0  # number of the connection, at the end that records the entry
+    patience: float = 0.0  # seconds: how long the client waits, or a router is stalled
+    session: int = -1  # number of the client's session; -1: none
     keys: list[str] = []
-    value: str = ""  # of an answer: as it came; of others by their kind
-    values: list[str] = []  # of a read's answer or an `end`: what the keys hold, "" for nothing
-    verdict: str = (
-        ""  # served, refused, repeat, failed, error; answered, turned away; why a connection closed
-    )
-    line: str = ""  # the log that a member writes or follows ...
-    offset: int = 0  # ... and how far it has got there
-    log: list[list[str]] = []  # commands that a write put there
-    parent: str = ""
-    received: int = 0  # of the parent, before the line began
+    value: str = ""  # raw answer or reply; form of a request; role that a member reports; state in the roster
+    values: list[str] = []  # what `keys` hold, in a read's answer or an `end`; "" for a missing key
+    # of an answer: served, refused, repeat, failed, error or surplus; of a reply: answered or turned away; of a cut:
+    # why the connection closed
+    verdict: str = ""
+    line: str = ""  # replication history that the member writes or follows
+    offset: int = 0  # how far the member has got in that history, in bytes
+    log: list[list[str]] = []  # commands that a write appended to the log
+    parent: str = ""  # history from which a new one forks
+    received: int = 0  # bytes of the parent that the member had received before the fork
 
 
 class Writer:
-    """Appends to a trace file."""
+    """Writes a trace file; a call appends one entry."""
 
     def __init__(self, path: Path, head: Head) -> None:
+        """Create or replace the file and write the head. Errors: `OSError`."""
         self._file = path.open("wb", buffering=1 << 20)
         self._encoder = msgspec.json.Encoder()
         self._file.write(self._encoder.encode(head) + b"\n")
@@ -94,17 +103,20 @@
 
 
 class TraceError(Exception):
-    """A trace that can't be read: file, line and reason."""
+    """A trace file cannot be read; the message names file, line and reason."""
 
 
 def read(path: Path) -> tuple[Head, list[Entry]]:
-    """Errors: `TraceError`; a last line that was cut off is left out."""
+    """The head and the entries by time. A last line without its end (the writer was killed) is left out.
+
+    Errors: `TraceError`.
+    """
     try:
         lines = path.read_bytes().split(b"\n")
     except OSError as error:
         raise TraceError(f"{path}: can't be read: {error}") from None
-    torn = lines.pop()
-    del torn
+    incomplete_line = lines.pop()  # empty if the file ends with a complete line
+    del incomplete_line
     if not lines:
         raise TraceError(f"{path}: no head")
     try:
