--- a/banklift/judge/lines.py
+++ b/banklift/judge/lines.py
@@ -1,10 +1,10 @@
-"""Each group's log and its lines, rebuilt from a trace: who wrote what where, and what a key held at any place.
+"""Rebuilds the replication logs of each group from a trace: who wrote what where, and what a key held at any position.
 
-Theory of operation. A line is one history of a log, named by its replication id. It begins at an offset of its parent
-(a promotion, or a restart that kept no history) and goes on from there, so offsets compare along a chain of parents. A
-*place* is a line and an offset. What two places share is the log up to `common`; what lies beyond it on one of them is
-missing at the other. Writes are known with the commands that they put into the log, so a key's value at a place follows
-from the log alone, whatever the members say.
+A *history* is one continuous run of a replication log, named by its replication id (field `line` of the trace). It
+forks from a parent at an offset (at a promotion, or a restart that kept no history) and continues from there, so
+offsets compare along a chain of parents. A *log position* is a history and an offset. Two positions share the log up
+to `common_offset`; what lies beyond it at one of them is missing at the other. Each write is recorded with the commands
+that it appended to the log, so a key's value at a position follows from the log alone, whatever the members report.
 """
 
 from __future__ import annotations
@@ -16,125 +16,143 @@
 
 from banklift.judge.trace import Entry
 
-EVER = math.inf
+UNLIMITED = math.inf  # no upper offset, or a key without expiry
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    line: str
+class LogPosition:
+    """An offset (bytes) in a replication history."""
+
+    history: str
     offset: float
 
 
-class Lines:
-    def __init__(self, groups: dict[str, str], entries: list[Entry]) -> None:
-        self.parents: dict[
-            str, tuple[str, int]
-        ] = {}  # of a line: the line it goes on from, and from which offset
-        self.short: list[Entry] = []  # lines that began before all that their member had received
-        self.runs: dict[str, list[Entry]] = defaultdict(list)  # of each line, in order
-        self.roles: dict[str, list[Entry]] = defaultdict(list)  # of each group, in order
-        self.own: dict[tuple[str, str], list[tuple[int, list[str]]]] = defaultdict(list)  # by line and key
-        self.places: dict[str, list[Place]] = defaultdict(
+class ReplicationHistories:
+    """The histories of all groups of a trace.
+
+    `group_of_member`: name of the group, by name of the member. `entries`: in order of time.
+    """
+
+    def __init__(self, group_of_member: dict[str, str], entries: list[Entry]) -> None:
+        self.parents: dict[str, tuple[str, int]] = {}  # by history: its parent, and the offset of the fork
+        # starts of histories at an offset below what their member had received of the parent
+        self.truncated_starts: list[Entry] = []
+        self.writes: dict[str, list[Entry]] = defaultdict(list)  # by history, in order
+        self.roles: dict[str, list[Entry]] = defaultdict(list)  # by group, in order
+        # by history and key: offsets and commands, without those of parents
+        self.own_commands: dict[tuple[str, str], list[tuple[int, list[str]]]] = defaultdict(list)
+        self.positions: dict[str, list[LogPosition]] = defaultdict(
             list
-        )  # where a request's tries ran, by number and try
-        self._chains: dict[str, list[tuple[str, float]]] = {}
-        self._states: dict[tuple[str, str], tuple[list[int], list[tuple[str, float]]]] = {}
+        )  # by request id: where it was executed
+        self._ancestries: dict[str, list[tuple[str, float]]] = {}
+        self._key_states: dict[tuple[str, str], tuple[list[int], list[tuple[str, float]]]] = {}
         for entry in entries:
             if entry.k == "line":
                 self.parents[entry.line] = entry.parent, entry.offset
                 if entry.offset < entry.received:
-                    self.short.append(entry)
+                    self.truncated_starts.append(entry)
             elif entry.k == "role":
-                self.roles[groups[entry.member]].append(entry)
+                self.roles[group_of_member[entry.member]].append(entry)
             elif entry.k == "ran":
-                self.runs[entry.line].append(entry)
-                self.places[entry.rid].append(Place(entry.line, entry.offset))
+                self.writes[entry.line].append(entry)
+                self.positions[entry.rid].append(LogPosition(entry.line, entry.offset))
                 for command in entry.log:
                     for key in command[1:] if command[0].upper() == "DEL" else command[1:2]:
-                        self.own[entry.line, key].append((entry.offset, command))
-        self._times = {line: [run.t for run in runs] for line, runs in self.runs.items()}
-        self._since = {group: [role.t for role in roles] for group, roles in self.roles.items()}
-
-    def chain(self, line: str) -> list[tuple[str, float]]:
-        """The line and those it goes on from, with the offset up to which each is part of it."""
-        found = self._chains.get(line)
+                        self.own_commands[entry.line, key].append((entry.offset, command))
+        self._write_times = {
+            history: [write.t for write in writes] for history, writes in self.writes.items()
+        }
+        self._role_times = {group: [role.t for role in roles] for group, roles in self.roles.items()}
+
+    def ancestry(self, history: str) -> list[tuple[str, float]]:
+        """The history and its ancestors, newest first, each with the offset up to which it is part of the log."""
+        found = self._ancestries.get(history)
         if found is None:
-            found, limit = [(line, EVER)], EVER
+            found, limit = [(history, UNLIMITED)], UNLIMITED
             while found[-1][0] in self.parents:
                 parent, fork = self.parents[found[-1][0]]
                 limit = min(limit, fork)
                 found.append((parent, limit))
-            self._chains[line] = found
+            self._ancestries[history] = found
         return found
 
-    def common(self, one: Place, other: Place) -> float:
-        """The offset up to which the logs at both places are the same; 0 for lines that have nothing in common."""
-        theirs = dict(self.chain(other.line))
-        for line, limit in self.chain(one.line):
-            if line in theirs:
-                return min(one.offset, limit, theirs[line], other.offset)
+    def common_offset(self, one: LogPosition, other: LogPosition) -> float:
+        """The offset up to which the logs at both positions are the same; 0 for unrelated histories."""
+        other_limits = dict(self.ancestry(other.history))
+        for history, limit in self.ancestry(one.history):
+            if history in other_limits:
+                return min(one.offset, limit, other_limits[history], other.offset)
         return 0
 
-    def current(self, group: str, at: float) -> Entry | None:
-        """Who was primary, and of which line."""
-        place = bisect_right(self._since.get(group, []), at)
-        return self.roles[group][place - 1] if place else None
-
-    def head(self, line: str, at: float) -> Place:
-        """How far a line had got."""
-        place = bisect_left(self._times.get(line, []), at)
-        if place:
-            return Place(line, self.runs[line][place - 1].offset)
-        return Place(line, self.parents[line][1] if line in self.parents else 0)
-
-    def kept(self, place: Place, group: str, at: float) -> Place:
-        """What of a place's log is still part of the line that is current at `at`: the rest was lost at a fork."""
-        now = self.current(group, at)
-        return place if now is None else Place(place.line, self.common(Place(now.line, EVER), place))
-
-    def states(self, line: str, key: str) -> tuple[list[int], list[tuple[str, float]]]:
-        """Offsets, and what the key held from each on: a value and the time (ms) at which it ends."""
-        found = self._states.get((line, key))
+    def current_primary(self, group: str, at: float) -> Entry | None:
+        """The `role` entry of the primary at time `at` (seconds), with its history; None before the first one."""
+        count = bisect_right(self._role_times.get(group, []), at)
+        return self.roles[group][count - 1] if count else None
+
+    def end_position(self, history: str, at: float) -> LogPosition:
+        """The position of the last write of a history before time `at` (seconds)."""
+        count = bisect_left(self._write_times.get(history, []), at)
+        if count:
+            return LogPosition(history, self.writes[history][count - 1].offset)
+        return LogPosition(history, self.parents[history][1] if history in self.parents else 0)
+
+    def surviving_position(self, position: LogPosition, group: str, at: float) -> LogPosition:
+        """How much of a position's log the group's current history at time `at` still holds; a fork lost the rest."""
+        primary = self.current_primary(group, at)
+        return (
+            position
+            if primary is None
+            else LogPosition(
+                position.history, self.common_offset(LogPosition(primary.line, UNLIMITED), position)
+            )
+        )
+
+    def key_states(self, history: str, key: str) -> tuple[list[int], list[tuple[str, float]]]:
+        """Offsets, and the key's state from each one on: its value, and when it expires (ms on the trace's clock)."""
+        found = self._key_states.get((history, key))
         if found is None:
             offsets, states = list[int](), list[tuple[str, float]]()
-            for older, limit in reversed(self.chain(line)):
-                for offset, command in self.own.get((older, key), ()):
+            for ancestor, limit in reversed(self.ancestry(history)):
+                for offset, command in self.own_commands.get((ancestor, key), ()):
                     if offset <= limit:
                         offsets.append(offset)
-                        states.append(applied(states[-1] if states else ("", EVER), command))
-            found = self._states[line, key] = offsets, states
+                        states.append(apply_command(states[-1] if states else ("", UNLIMITED), command))
+            found = self._key_states[history, key] = offsets, states
         return found
 
-    def held(self, key: str, place: Place) -> tuple[str, float]:
-        """What the key held there, and when that ends (ms)."""
-        offsets, states = self.states(place.line, key)
-        found = bisect_right(offsets, place.offset)
-        return states[found - 1] if found else ("", EVER)
+    def key_state_at(self, key: str, position: LogPosition) -> tuple[str, float]:
+        """The key's value at a position ("" if it does not exist), and when it expires (ms on the trace's clock)."""
+        offsets, states = self.key_states(position.history, key)
+        count = bisect_right(offsets, position.offset)
+        return states[count - 1] if count else ("", UNLIMITED)
 
-    def touched(self, key: str, line: str, above: float, upto: float) -> int:
-        """How many commands touched the key there."""
-        offsets, _ = self.states(line, key)
+    def count_key_commands(self, key: str, history: str, above: float, upto: float) -> int:
+        """How many commands on the key the log has at offsets above `above` and up to `upto`."""
+        offsets, _ = self.key_states(history, key)
         return bisect_right(offsets, upto) - bisect_right(offsets, above)
 
-    def written(self, line: str, above: float, upto: float) -> int:
-        """How many writes the line, with what it goes on from, has there."""
+    def count_writes(self, history: str, above: float, upto: float) -> int:
+        """How many writes to any key the log, ancestors included, has at offsets above `above` and up to `upto`."""
         return sum(
-            above < run.offset <= min(limit, upto)
-            for older, limit in self.chain(line)
-            for run in self.runs.get(older, ())
+            above < write.offset <= min(limit, upto)
+            for ancestor, limit in self.ancestry(history)
+            for write in self.writes.get(ancestor, ())
         )
 
 
-def applied(state: tuple[str, float], command: list[str]) -> tuple[str, float]:
-    """A key's value and end after a command of the log. Errors: `ValueError` for one that days don't write."""
-    value, end = state
+def apply_command(state: tuple[str, float], command: list[str]) -> tuple[str, float]:
+    """A key's value and expiry (ms) after a command of the log.
+
+    Errors: `ValueError` for a command that the clients of a day never cause.
+    """
+    value, expiry = state
     match command[0].upper():
         case "APPEND":
-            return value + command[2], end
+            return value + command[2], expiry
         case "SET":
-            return command[2], float(command[4]) if len(command) > 4 else EVER
+            return command[2], float(command[4]) if len(command) > 4 else UNLIMITED
         case "DEL":
-            return "", EVER
+            return "", UNLIMITED
         case "PEXPIREAT":
             return (value, float(command[2])) if value else state
-    raise ValueError(f"the judge does not know what {command[0]!r} does")
+    raise ValueError(f"the judge cannot replay {command[0]!r} from a log")
--- a/banklift/judge/show.py
+++ b/banklift/judge/show.py
@@ -1,4 +1,4 @@
-"""A verdict as tables on standard output."""
+"""Prints a verdict on standard output: a table of the classes, then counts, excuses and violations by rule."""
 
 from __future__ import annotations
 
@@ -10,22 +10,23 @@
 
 from banklift.judge.verdict import Verdict
 
-RULES = {
+RULE_TITLES = {
     1: "one final answer before the deadline",
     2: "no effect twice",
     3: "drains kept",
     4: "no cold member pushed over",
     5: "no stale read",
 }
-SHOWN = 5  # breaks told of each rule
+MAX_SHOWN_VIOLATIONS = 5  # of each rule
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Of sorted values; 0 if there are none."""
+    """The value below which `share` (0 to 1) of the sorted values lie; 0 if there are none."""
     return values[min(len(values) - 1, int(share * len(values)))] if values else 0.0
 
 
 def show(verdict: Verdict, trace: Path) -> None:
+    """Print the verdict and the path of its trace; 130 columns wide where standard output is no terminal."""
     console = Console(width=None if sys.stdout.isatty() else 130)
     table = Table("class")
     for name in (
@@ -42,10 +43,10 @@
         "p99 ms",
     ):
         table.add_column(name, justify="right")
-    for kind, tally in sorted(verdict.tallies.items()):
-        times = sorted(tally.latencies)
+    for class_name, tally in sorted(verdict.tallies.items()):
+        latencies = sorted(tally.latencies)
         table.add_row(
-            kind,
+            class_name,
             *map(
                 str,
                 (
@@ -59,27 +60,27 @@
                     tally.left,
                 ),
             ),
-            *(f"{1000 * percentile(times, share):.1f}" for share in (0.5, 0.95, 0.99)),
+            *(f"{1000 * percentile(latencies, share):.1f}" for share in (0.5, 0.95, 0.99)),
         )
     console.print(table)
     for name, count in sorted(verdict.counts.items()):
         console.print(f"{name}: {count}", highlight=False)
-    for kind, tally in sorted(verdict.tallies.items()):
+    for class_name, tally in sorted(verdict.tallies.items()):
         if tally.reads:
             console.print(
-                f"{kind}: {tally.reads} reads judged, of {tally.shown} a wrong answer would have been seen, "
+                f"{class_name}: {tally.reads} reads judged, of {tally.shown} a wrong answer would have been seen, "
                 f"of {tally.aged} an old one",
                 highlight=False,
             )
     for name, count in sorted(verdict.excused.items()):
         console.print(f"excused, {name}: {count}", highlight=False)
-    for rule, text in RULES.items():
-        breaks = [found for found in verdict.breaks if found.rule == rule]
+    for rule, text in RULE_TITLES.items():
+        violations = [violation for violation in verdict.breaks if violation.rule == rule]
         console.print(
-            f"rule {rule}, {text}: " + (f"BROKEN {len(breaks)} times" if breaks else "kept"),
-            style="bold red" if breaks else "green",
+            f"rule {rule}, {text}: " + (f"BROKEN {len(violations)} times" if violations else "kept"),
+            style="bold red" if violations else "green",
             highlight=False,
         )
-        for found in breaks[:SHOWN]:
-            console.print(f"    {found.at:.3f} s  {found.rid}  {found.reason}", highlight=False)
+        for violation in violations[:MAX_SHOWN_VIOLATIONS]:
+            console.print(f"    {violation.at:.3f} s  {violation.rid}  {violation.reason}", highlight=False)
     console.print(f"trace: {trace}", highlight=False)
--- a/banklift/judge/verdict.py
+++ b/banklift/judge/verdict.py
@@ -1,4 +1,4 @@
-"""What the judge says of a day."""
+"""The result of judging a trace: violations of the five rules, and tallies of each class of requests."""
 
 from __future__ import annotations
 
@@ -9,16 +9,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Break:
-    rule: int
+class Violation:
+    """One breach of a rule."""
+
+    rule: int  # 1 to 5, as rules.py numbers them
     reason: str
-    at: float  # since the start
-    rid: str
+    at: float  # seconds since the start of the day
+    rid: str  # request id (trace.py); a key where a member's data is at fault; "" where no request is
 
 
 @dataclass(slots=True)
-class Tally:
-    """One class, first tries and the clients' own retries apart."""
+class ClassTally:
+    """Counts and latencies of one class of requests.
+
+    `asked` counts first tries only; all other fields count every try, so the clients' own retries too.
+    """
 
     asked: int = 0
     tries: int = 0
@@ -27,36 +32,44 @@
     failed: int = 0
     errors: int = 0
     left: int = 0
-    in_time: int = 0
-    latencies: list[float] = field(default_factory=list)
-    reads: int = 0  # served reads that were judged; of these ...
-    shown: int = 0  # ... their keys held something, so that a wrong answer would show
-    aged: int = 0  # ... their keys had been written where the class may not miss it, so that an old one would
+    in_time: int = 0  # served within the class's aim
+    latencies: list[float] = field(default_factory=list)  # seconds from request to answer
+    reads: int = 0  # served reads that were judged under rule 5
+    # judged reads with a key that held a value, so that a wrong answer would have been noticed
+    shown: int = 0
+    # judged reads with a key written at or before the least permitted position: a stale answer would have been noticed
+    aged: int = 0
 
 
 @dataclass(slots=True)
 class Verdict:
-    breaks: list[Break] = field(default_factory=list)
-    tallies: dict[str, Tally] = field(default_factory=dict)
-    counts: Counter[str] = field(default_factory=Counter)
-    excused: Counter[str] = field(default_factory=Counter)  # by reason
+    """All violations of a day, and the counts that are printed beside them."""
+
+    breaks: list[Violation] = field(default_factory=list)
+    tallies: dict[str, ClassTally] = field(default_factory=dict)  # by name of the class
+    counts: Counter[str] = field(default_factory=Counter)  # by the text that is printed
+    excused: Counter[str] = field(default_factory=Counter)  # breaches with a known cause, by that cause
 
     def kept(self, rule: int) -> bool:
-        return not any(found.rule == rule for found in self.breaks)
+        """Whether nothing violates the rule of this number."""
+        return not any(violation.rule == rule for violation in self.breaks)
 
 
 @dataclass(slots=True)
-class Try:
-    """One request as a client sent it once, and all that became of it."""
+class ClientTry:
+    """One sending of a request by a client, with everything that the trace records about it.
+
+    Times are seconds on the clock of the trace.
+    """
 
-    ask: Entry
+    request: Entry
     answers: list[Entry] = field(default_factory=list)
-    left: float | None = None
-    broke: float | None = None
-    commands: list[Entry] = field(default_factory=list)
-    replies: list[Entry] = field(default_factory=list)
+    left_at: float | None = None  # when the client gave up and left
+    broke_at: float | None = None  # when the connection closed without an answer
+    commands: list[Entry] = field(default_factory=list)  # attempts that reached a member
+    replies: list[Entry] = field(default_factory=list)  # what members replied to those attempts
 
     @property
-    def served(self) -> Entry | None:
-        """Its answer, if that served it."""
+    def served_answer(self) -> Entry | None:
+        """The first answer if it served the request, else None."""
         return self.answers[0] if self.answers and self.answers[0].verdict == "served" else None
