--- a/banklift/judge/day.py
+++ b/banklift/judge/day.py
@@ -1,7 +1,7 @@
-"""A scripted bad day: stand-ins, routers, clients, faults by the clock, and a trace of all of it.
+"""Plays a day: a scripted scenario of traffic and timed faults against routers and emulated members.
 
-The same day plays on sockets, with routers as processes of their own, and in virtual time, where one seed gives one
-trace.
+All that crosses the sockets of clients and members is recorded as a trace (trace.py). The same day plays on sockets,
+with each router in a process of its own, and in virtual time, where one seed always gives the same trace.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from banklift.emulator.world import World
 from banklift.interface import Status
 from banklift.judge import forms
-from banklift.judge.load import Clients, Habits, Mix
+from banklift.judge.load import ClientBehaviour, Clients, RequestTemplate
 from banklift.judge.trace import Entry, Head, Writer
 from banklift.net.env import Env
 from banklift.net.sockets import SocketEnv
@@ -34,59 +34,89 @@
 from banklift.resp.replies import status
 
 DAYS = Path(__file__).with_name("days")
-TOLD_WITHIN = 0.5  # seconds until a router has read a new roster file
-ELECT_LOOK = 0.05
-TAIL_SHARE = 0.03  # of requests, of a heavy tail
-ON_SOCKETS = 0.15  # seconds that the two ends may see the same moment apart, on a busy machine ...
-IN_VIRTUAL_TIME = 0.005  # ... and in virtual time: some ways
-HAND_OVER = 2.0  # seconds that a hand-over waits for the log
-
-
-class Request(Strict, kw_only=True, frozen=True):
-    kind: str
-    share: Positive
-    key: str
+ROSTER_READ_S = 0.5  # longest time until a router has read a new roster file
+POLL_INTERVAL_S = 0.05  # between checks of the primaries, and between checks whether a day on sockets is over
+HEAVY_TAIL_SHARE = 0.03  # share of requests that the order "tail" makes slow
+# largest difference between the times that both ends of a connection record for one event
+SOCKET_SKEW_S = 0.15  # on sockets of a busy machine
+VIRTUAL_SKEW_S = 0.005  # in virtual time: a few times the latency of a connection
+HANDOVER_TIMEOUT_S = 2.0  # time that a hand-over waits until the replica has the whole log
+HANDOVER_POLL_S = 0.005
+
+
+class RequestSpec(Strict, kw_only=True, frozen=True):
+    """One entry of a day's mix of requests."""
+
+    kind: str  # name of a class of the operator's file
+    share: Positive  # relative to the other entries
+    key: str  # format, with {s} for the session and {k} for one of `keys` shared keys
     writes: bool = False
-    keys: int = 1  # shared keys that {k} is drawn from
-    forms: dict[str, float] = msgspec.field(default_factory=dict)  # forms (forms.py) and their shares
-
-
-class Trouble(Strict, kw_only=True, frozen=True):
-    """One order to the stand, at `at` seconds. `member` may be `primary:GROUP`, `replica:GROUP:N` or `*`."""
-
-    at: Seconds
-    do: str
-    member: str = ""
-    router: int = -1
+    keys: int = 1  # number of shared keys that {k} is drawn from
+    # forms of requests (forms.py) and their relative shares; none: append or mget
+    forms: dict[str, float] = msgspec.field(default_factory=dict)
+
+
+class FaultOrder(Strict, kw_only=True, frozen=True):
+    """One scheduled order: a fault, the end of a fault, or another change to members, routers or clients.
+
+    Orders to a member, with the meaning of `value`:
+
+    - `hang`: takes requests and answers none; share of them that are executed all the same. `thaw` ends it.
+    - `kill`; `restart` starts it again, without a warm cache.
+    - `join`: a member of `absent` starts.
+    - `drain`, `undrain`: the roster lists it as draining, or as ready again.
+    - `lag`: multiple of the usual work of applying the log.
+    - `slow`: multiple of the usual work of commands; `slow_for`: towards `router` only; `tail`: of a few requests.
+    - `cut`: share of requests at which it closes the connection.
+    - `cap`: number of connections that it accepts.
+    - `handshake`: seconds before it serves a new connection.
+    - `understate`: share of its load that it reports.
+    - `withhold`: 1 while no replica gets what it writes; 0 sends what was withheld.
+    - `delay`: additional seconds until replicas get what it writes.
+    - `split`: the control plane takes it for unavailable and does not tell it; `heal` ends this.
+
+    Other orders: `leavers` (share of clients that leave early), `roster_delay` (seconds until a change of the roster is
+    published), `kill_router`, `start_router`, `stall_router` (seconds).
+    """
+
+    at: Seconds  # since the start of the day
+    do: str  # one of `ORDERS`
+    member: str = ""  # a name, `primary:GROUP`, `replica:GROUP:N`, or `*` for all
+    router: int = -1  # number of the router
     value: float = 0.0
-    probes: bool = True  # of a hang: questions for the role are still answered
+    probes: bool = True  # while hanging, the member still answers probes of its role
 
 
 class Election(Strict, kw_only=True, frozen=True):
-    notice: Seconds = 0.4  # until a dead or hung primary is given up
-    takes: Seconds = 0.3  # until a replica has taken over
+    """Timing of the store's own control plane, which replaces a primary that fails."""
+
+    notice: Seconds = 0.4  # from the failure until the primary is taken for unavailable
+    takes: Seconds = 0.3  # from then until a replica is promoted
 
 
 class Day(Strict, kw_only=True, frozen=True):
+    """The script of a day, as a day file has it. Times are seconds."""
+
     title: str
-    seconds: Positive
-    rate: Positive
+    seconds: Positive  # for which new requests arrive
+    rate: Positive  # arrivals per second
     sessions: Annotated[int, Meta(ge=1)] = 50
-    roam: Seconds = 0.5
-    helped: bool = False
-    named: bool = False
-    retries: int = 2
-    leavers: Seconds = 0.2
-    reread: Seconds = 0.6
+    roam: Seconds = 0.5  # share of batches that go to a random router, not to the session's own
+    helped: bool = False  # sessions send the consistency token of their last write
+    named: bool = False  # sessions send their name on each connection
+    retries: int = 2  # by the client, of one request
+    leavers: Seconds = 0.2  # share of batches whose client leaves before the deadline
+    reread: Seconds = 0.6  # share of acknowledged writes that their session reads soon after
     batches: Seconds = 0.1  # share of arrivals that are several requests in one piece
-    work: Positive = 0.001
-    apply: Seconds = 0.0001
-    requests: list[Request]
-    troubles: list[Trouble] = msgspec.field(default_factory=list)
-    absent: tuple[str, ...] = ()  # members that join later
-    shows: dict[str, float] = msgspec.field(default_factory=dict)  # least figures of symptoms (symptoms.py)
+    work: Positive = 0.001  # that a member takes for a command
+    apply: Seconds = 0.0001  # that a replica takes to apply a write
+    requests: list[RequestSpec]
+    troubles: list[FaultOrder] = msgspec.field(default_factory=list)
+    absent: tuple[str, ...] = ()  # members that are not there at the start
+    # least figures of the symptoms (symptoms.py) that the day has to show
+    shows: dict[str, float] = msgspec.field(default_factory=dict)
     election: Election = msgspec.field(default_factory=Election)
-    config: dict[str, Any] | None = None  # in place of the example's keys
+    config: dict[str, Any] | None = None  # keys that replace those of the example file
 
 
 ORDERS = (
@@ -118,42 +148,47 @@
 
 
 def load_day(name: str) -> tuple[Day, Config]:
-    """A day of ours by name, or a file. Errors: `ConfigError`."""
+    """The day of this name in `DAYS`, or of a file with a suffix, and the operator's configuration it is played with.
+
+    Errors: `ConfigError` with the path of the file and the place in it.
+    """
     path = Path(name)
     if not path.suffix:
         path = DAYS / f"{name}.jsonnet"
         if not path.exists():
-            known = ", ".join(sorted(day.stem for day in DAYS.glob("*.jsonnet")))
-            raise ConfigError(f"no day is named {name!r}; there are: {known}")
+            names = ", ".join(sorted(day.stem for day in DAYS.glob("*.jsonnet")))
+            raise ConfigError(f"no day is named {name!r}; there are: {names}")
     try:
         day = msgspec.json.decode(evaluate(path), type=Day)
     except msgspec.ValidationError as error:
         reason, _, place = str(error).partition(" - at ")
         raise ConfigError(f"{path}: {place.strip('`') or '$'}: {reason}") from None
-    for number, trouble in enumerate(day.troubles):
-        if trouble.do not in ORDERS:
-            raise ConfigError(
-                f"{path}: $.troubles[{number}].do: {trouble.do!r} is none of {', '.join(ORDERS)}"
-            )
+    for index, order in enumerate(day.troubles):
+        if order.do not in ORDERS:
+            raise ConfigError(f"{path}: $.troubles[{index}].do: {order.do!r} is none of {', '.join(ORDERS)}")
     config = load(EXAMPLE)
     if day.config is not None:
         config = msgspec.convert({**msgspec.to_builtins(config), **day.config}, type=Config)
-    names = {kind.name for kind in config.classes}
-    for number, request in enumerate(day.requests):
-        if request.kind not in names:
-            raise ConfigError(f"{path}: $.requests[{number}].kind: no class is named {request.kind!r}")
+    class_names = {request_class.name for request_class in config.classes}
+    for index, request in enumerate(day.requests):
+        if request.kind not in class_names:
+            raise ConfigError(f"{path}: $.requests[{index}].kind: no class is named {request.kind!r}")
         for form, share in request.forms.items():
-            ours = forms.WRITES if request.writes else forms.READS
-            if form not in ours or not share > 0:
+            known_forms = forms.WRITES if request.writes else forms.READS
+            if form not in known_forms or not share > 0:
                 raise ConfigError(
-                    f"{path}: $.requests[{number}].forms.{form}: need a share above 0 of one of "
-                    f"{', '.join(ours)}"
+                    f"{path}: $.requests[{index}].forms.{form}: need a share above 0 of one of "
+                    f"{', '.join(known_forms)}"
                 )
     return day, config
 
 
-class Director:
-    """Runs the script of one day in its surroundings, and records what both ends of the sockets see."""
+class DayRunner:
+    """Plays the script of one day in an environment and records what both ends of the sockets see.
+
+    `routers`: their number. `record` is called with each entry of the trace; `progress` with the seconds since the
+    start and a line of text. Errors: `OSError` if a member's address can't be bound.
+    """
 
     def __init__(
         self,
@@ -167,31 +202,30 @@
     ) -> None:
         self.env, self.day, self.config, self.seed = env, day, config, seed
         self.record, self.progress = record, progress
-        self.begin = env.now()
-        self.sources = {source(number): number for number in range(routers)}
-        self.sick: dict[str, float] = {}  # members that can't be primary, since when
-        self.electing: set[str] = set()
+        self.began_at = env.now()
+        self.router_of_source = {source(number): number for number in range(routers)}
+        self.unavailable_since: dict[str, float] = {}  # by member that can't be primary: since when
+        self.groups_in_election: set[str] = set()
         self.roster_delay = 0.0
-        self.stand = Stand(config, env, seed, self._tap, day.work, day.apply, True)
-        self.said: dict[
-            tuple[str, str], tuple[str, str]
-        ] = {}  # by member and router: role and line last told
+        self.stand = Stand(config, env, seed, self._record_member_event, day.work, day.apply, True)
+        # by member and source address of a router: role and replication history last reported
+        self.reported_roles: dict[tuple[str, str], tuple[str, str]] = {}
         self.routers: Routers | None = None
         self.clients: Clients | None = None
         for name in day.absent:
             self.stand.nodes[name].kill()
             self.stand.states[name] = "gone"
-        self.published = dict(self.stand.states)
+        self.published_states = dict(self.stand.states)
         for group in config.groups:
-            self._role(self.stand.roles[group.name])
+            self._record_primary(self.stand.roles[group.name])
 
     def start(self, routers: Routers) -> None:
-        """All routers listen: let clients and troubles begin."""
+        """Start clients and the schedule of orders. All routers have to listen already."""
         self.routers = routers
         day = self.day
-        self.begin = self.env.now()
-        self.say(f"{len(routers.addresses)} routers and {len(self.stand.nodes)} members are up")
-        habits = Habits(
+        self.began_at = self.env.now()
+        self.report_progress(f"{len(routers.addresses)} routers and {len(self.stand.nodes)} members are up")
+        behaviour = ClientBehaviour(
             day.sessions,
             day.retries,
             day.roam,
@@ -199,33 +233,36 @@
             day.named,
             day.leavers,
             day.reread,
-            batches=day.batches,
+            batch_share=day.batches,
         )
         self.clients = Clients(
             self.env,
             routers.addresses,
-            {kind.name: kind.deadline for kind in self.config.classes},
+            {request_class.name: request_class.deadline for request_class in self.config.classes},
             [
-                Mix(one.kind, one.share, one.key, one.writes, one.keys, tuple(one.forms.items()))
-                for one in day.requests
+                RequestTemplate(
+                    spec.kind, spec.share, spec.key, spec.writes, spec.keys, tuple(spec.forms.items())
+                )
+                for spec in day.requests
             ],
-            habits,
+            behaviour,
             self.seed,
             self.record,
         )
         self.clients.run(day.rate, day.seconds)
-        for trouble in day.troubles:
-            self.env.at(self.begin + trouble.at, lambda trouble=trouble: self._do(trouble))  # type: ignore[misc]
-        self._elect()
+        for order in day.troubles:
+            self.env.at(self.began_at + order.at, lambda order=order: self._execute(order))  # type: ignore[misc]
+        self._check_primaries()
 
     @property
-    def over(self) -> bool:
-        return self.clients is not None and not self.clients.sending and not self.clients.open
+    def is_finished(self) -> bool:
+        """Whether no more requests arrive and all have ended."""
+        return self.clients is not None and not self.clients.is_generating and not self.clients.open_requests
 
     def finish(self) -> None:
-        """Put down what the primaries hold in the end."""
+        """Close the clients and record what the primaries hold at the end."""
         assert self.clients is not None
-        self.say(f"all {self.clients.numbers} requests are over")
+        self.report_progress(f"all {self.clients.requests_started} requests are over")
         self.clients.close()
         now = self.env.now()
         for name in self.stand.roles.values():
@@ -246,16 +283,23 @@
                 )
         self.record(Entry(t=now, k="end"))
 
-    def say(self, text: str) -> None:
-        self.progress(self.env.now() - self.begin, text)
+    def report_progress(self, text: str) -> None:
+        """Pass a line of text on with the seconds since the start."""
+        self.progress(self.env.now() - self.began_at, text)
 
-    def _tap(self, now: float, member: str, act: Act) -> None:
-        """At a member's end of the sockets."""
-        router = self.sources.get(act.source, -1)
-        match act.what:
+    def _record_member_event(self, now: float, member: str, event: Act) -> None:
+        """Record what a member did at its end of the sockets."""
+        router = self.router_of_source.get(event.source, -1)
+        match event.what:
             case "close":
                 self.record(
-                    Entry(t=now, k="cut", member=member, conn=act.conn, verdict=act.data.decode() or "member")
+                    Entry(
+                        t=now,
+                        k="cut",
+                        member=member,
+                        conn=event.conn,
+                        verdict=event.data.decode() or "member",
+                    )
                 )
             case "line":
                 self.record(
@@ -263,27 +307,27 @@
                         t=now,
                         k="line",
                         member=member,
-                        line=act.line,
-                        offset=act.offset,
-                        parent=act.parent,
-                        received=act.received,
+                        line=event.line,
+                        offset=event.offset,
+                        parent=event.parent,
+                        received=event.received,
                     )
                 )
-                if self.stand.roles.get(self._group(member).name) == member:  # a primary that restarted
-                    self._role(member)
+                if self.stand.roles.get(self._group_of(member).name) == member:  # a primary that restarted
+                    self._record_primary(member)
             case "says":
-                said = act.args[0].decode(), act.line
-                if router >= 0 and self.said.get((member, act.source)) != said:
-                    self.said[member, act.source] = said
+                reported = event.args[0].decode(), event.line
+                if router >= 0 and self.reported_roles.get((member, event.source)) != reported:
+                    self.reported_roles[member, event.source] = reported
                     self.record(
                         Entry(
                             t=now,
                             k="says",
                             member=member,
                             router=router,
-                            value=said[0],
-                            line=act.line,
-                            offset=act.offset,
+                            value=reported[0],
+                            line=event.line,
+                            offset=event.offset,
                         )
                     )
             case "command":
@@ -293,8 +337,8 @@
                             t=now,
                             k="command",
                             member=member,
-                            conn=act.conn,
-                            rid=forms.number(act.args),
+                            conn=event.conn,
+                            rid=forms.find_request_id(event.args),
                             router=router,
                         )
                     )
@@ -304,263 +348,287 @@
                         t=now,
                         k="ran",
                         member=member,
-                        conn=act.conn,
-                        rid=forms.number(act.args),
+                        conn=event.conn,
+                        rid=forms.find_request_id(event.args),
                         router=router,
-                        line=act.line,
-                        offset=act.offset,
-                        log=[[word.decode("latin-1") for word in effect] for effect in act.log],
+                        line=event.line,
+                        offset=event.offset,
+                        log=[[word.decode("latin-1") for word in effect] for effect in event.log],
                     )
                 )
             case "answer":
-                turned = act.turned or status(act.data) is not Status.OK
+                turned_away = event.turned or status(event.data) is not Status.OK
                 writes = any(
-                    known is not None and known.kind is Kind.WRITE for known in map(lookup, act.args)
+                    known is not None and known.kind is Kind.WRITE for known in map(lookup, event.args)
                 )
                 self.record(
                     Entry(
                         t=now,
                         k="reply",
                         member=member,
-                        conn=act.conn,
-                        rid=forms.number(act.args),
-                        verdict="turned away" if turned else "answered",
+                        conn=event.conn,
+                        rid=forms.find_request_id(event.args),
+                        verdict="turned away" if turned_away else "answered",
                         router=router,
-                        line=act.line,
-                        offset=act.offset,
-                        value=act.data.decode("latin-1") if writes or turned else "",
+                        line=event.line,
+                        offset=event.offset,
+                        value=event.data.decode("latin-1") if writes or turned_away else "",
                     )
                 )
 
-    # ---- troubles
+    # ---- orders
 
-    def member(self, name: str) -> str:
-        """`primary:GROUP` and `replica:GROUP:N` by the roles of this moment."""
+    def resolve_member(self, name: str) -> str:
+        """The member that a name stands for: `primary:GROUP` and `replica:GROUP:N` follow the current roles."""
         role, _, rest = name.partition(":")
         if role == "primary":
             return self.stand.roles[rest]
         if role == "replica":
             group_name, _, number = rest.partition(":")
             group = next(group for group in self.config.groups if group.name == group_name)
-            replicas = [m.name for m in group.members if m.name != self.stand.roles[group_name]]
+            replicas = [
+                member.name for member in group.members if member.name != self.stand.roles[group_name]
+            ]
             return replicas[int(number or 0) % len(replicas)]
         return name
 
-    def _do(self, trouble: Trouble) -> None:
+    def _execute(self, order: FaultOrder) -> None:
+        """Carry out one order now, and record it where the rules depend on it."""
         stand, now = self.stand, self.env.now()
         assert self.routers is not None
-        if trouble.do == "kill_router":
-            self.say(f"router {trouble.router} is killed")
-            self.record(Entry(t=now, k="killed", router=trouble.router))
-            self.routers.kill(trouble.router)
+        if order.do == "kill_router":
+            self.report_progress(f"router {order.router} is killed")
+            self.record(Entry(t=now, k="killed", router=order.router))
+            self.routers.kill(order.router)
             return
-        if trouble.do == "start_router":
-            self.say(f"router {trouble.router} starts again")
-            self.routers.restart(trouble.router)
+        if order.do == "start_router":
+            self.report_progress(f"router {order.router} starts again")
+            self.routers.restart(order.router)
             return
-        if trouble.do == "stall_router":
-            self.say(f"router {trouble.router} stalls for {trouble.value:g} s")
-            self.routers.stall(trouble.router, trouble.value)
-            self.record(Entry(t=now, k="stalled", router=trouble.router, patience=trouble.value))
+        if order.do == "stall_router":
+            self.report_progress(f"router {order.router} stalls for {order.value:g} s")
+            self.routers.stall(order.router, order.value)
+            self.record(Entry(t=now, k="stalled", router=order.router, patience=order.value))
             return
-        if trouble.do == "leavers":
+        if order.do == "leavers":
             assert self.clients is not None
-            self.say(f"{trouble.value:.0%} of clients leave early")
-            self.clients.habits = dataclasses.replace(self.clients.habits, leavers=trouble.value)
+            self.report_progress(f"{order.value:.0%} of clients leave early")
+            self.clients.behaviour = dataclasses.replace(self.clients.behaviour, leaving_share=order.value)
             return
-        if trouble.do == "roster_delay":
-            self.say(f"the roster runs {trouble.value:g} s late")
-            self.roster_delay = trouble.value
+        if order.do == "roster_delay":
+            self.report_progress(f"the roster runs {order.value:g} s late")
+            self.roster_delay = order.value
             return
-        if trouble.member == "*":
-            for each in self.stand.nodes:
-                self._do(msgspec.structs.replace(trouble, member=each))
+        if order.member == "*":
+            for member in self.stand.nodes:
+                self._execute(msgspec.structs.replace(order, member=member))
             return
-        name = self.member(trouble.member)
+        name = self.resolve_member(order.member)
         host = stand.nodes[name]
         faults = host.node.faults
-        self.say(f"{trouble.do} {name}" + (f" {trouble.value:g}" if trouble.value else ""))
-        match trouble.do:
+        self.report_progress(f"{order.do} {name}" + (f" {order.value:g}" if order.value else ""))
+        match order.do:
             case "hang":
-                faults.hang, faults.hang_probes, faults.hang_runs = True, not trouble.probes, trouble.value
-                self.sick[name] = now
+                faults.hang, faults.hang_probes, faults.hang_runs = True, not order.probes, order.value
+                self.unavailable_since[name] = now
             case "thaw":
                 host.do(host.node.thaw(now))
-                self.sick.pop(name, None)
-                # it believes in its role until the control plane tells it otherwise
-                self.env.at(now + self.day.election.takes, lambda: self._follow(name))
+                self.unavailable_since.pop(name, None)
+                # the member keeps its role until the control plane tells it otherwise
+                self.env.at(now + self.day.election.takes, lambda: self._follow_primary(name))
             case "kill":
                 host.kill()
-                self.sick[name] = now
+                self.unavailable_since[name] = now
             case "restart":
                 rules = self.config.rules
                 host.restart(rules.cold_share, rules.cold_time)
                 stand.started[name] = now
                 self.record(Entry(t=now, k="cold", member=name))
-                self._list()
-                self.sick.pop(name, None)
-                self._follow(name)
+                self._schedule_roster()
+                self.unavailable_since.pop(name, None)
+                self._follow_primary(name)
             case "join":
                 rules = self.config.rules
                 stand.states[name] = "ready"
                 host.restart(rules.cold_share, rules.cold_time)
                 stand.started[name] = now
                 self.record(Entry(t=now, k="cold", member=name))
-                self._list()
-                self._follow(name)
+                self._schedule_roster()
+                self._follow_primary(name)
             case "drain":
-                self._told(name, "draining")
+                self._set_roster_state(name, "draining")
                 if name in stand.roles.values():
-                    self._hand_over(name)
+                    self._hand_over_primary(name)
             case "undrain":
-                self._told(name, "ready")
+                self._set_roster_state(name, "ready")
             case "lag":
-                faults.apply = trouble.value
+                faults.apply = order.value
             case "slow":
-                faults.slow = trouble.value
+                faults.slow = order.value
             case "slow_for":
-                faults.slow_for = {source(trouble.router): trouble.value}
+                faults.slow_for = {source(order.router): order.value}
             case "tail":
-                faults.tail, faults.tail_share = trouble.value, TAIL_SHARE if trouble.value > 1 else 0.0
+                faults.tail, faults.tail_share = order.value, HEAVY_TAIL_SHARE if order.value > 1 else 0.0
             case "cut":
-                faults.cut = trouble.value
+                faults.cut = order.value
             case "cap":
-                faults.cap = int(trouble.value)
+                faults.cap = int(order.value)
             case "handshake":
-                faults.handshake = trouble.value
+                faults.handshake = order.value
             case "delay":
-                faults.delay = trouble.value
-            case "split":  # it is given up, and nobody tells it
-                self.sick[name] = now
+                faults.delay = order.value
+            case "split":  # the control plane takes it for unavailable, and the member is not told
+                self.unavailable_since[name] = now
             case "heal":
-                self.sick.pop(name, None)
-                self._follow(name)
+                self.unavailable_since.pop(name, None)
+                self._follow_primary(name)
             case "withhold":
-                if trouble.value:
+                if order.value:
                     faults.withhold = True
                 else:
                     host.do(host.node.ship(now))
             case "understate":
-                faults.understate = trouble.value
+                faults.understate = order.value
 
-    def _told(self, name: str, state: str) -> None:
+    def _set_roster_state(self, name: str, state: str) -> None:
+        """Change the state of a member in the roster: ready, draining or gone."""
         self.stand.states[name] = state
-        self._list()
+        self._schedule_roster()
 
-    def _list(self) -> None:
-        """The roster changed; it may run late."""
+    def _schedule_roster(self) -> None:
+        """Publish the changed roster, after the delay if there is one."""
         if self.roster_delay:
-            self.env.at(self.env.now() + self.roster_delay, self._publish)
+            self.env.at(self.env.now() + self.roster_delay, self._publish_roster)
         else:
-            self._publish()
+            self._publish_roster()
 
-    def _publish(self) -> None:
+    def _publish_roster(self) -> None:
+        """Pass the roster to the routers and record each state that changed."""
         assert self.routers is not None
         self.routers.roster(self.stand)
         for name, state in self.stand.states.items():
-            if self.published[name] != state:
+            if self.published_states[name] != state:
                 self.record(Entry(t=self.env.now(), k="told", member=name, value=state))
-        self.published = dict(self.stand.states)
+        self.published_states = dict(self.stand.states)
 
-    # ---- elections, as the store's own control plane does them
+    # ---- the store's own control plane: elections and hand-overs
 
-    def _group(self, name: str) -> Group:
-        return next(group for group in self.config.groups if any(m.name == name for m in group.members))
+    def _group_of(self, name: str) -> Group:
+        """The group of a member."""
+        return next(
+            group for group in self.config.groups if any(member.name == name for member in group.members)
+        )
 
-    def _role(self, name: str) -> None:
+    def _record_primary(self, name: str) -> None:
+        """Record that a member is primary from now on, with its replication history."""
         self.record(Entry(t=self.env.now(), k="role", member=name, line=self.stand.nodes[name].node.replid))
 
-    def _elect(self) -> None:
+    def _check_primaries(self) -> None:
+        """Start an election in each group whose primary has been unavailable for long enough; runs at intervals."""
         now = self.env.now()
         for group in self.config.groups:
             primary = self.stand.roles[group.name]
-            since = self.sick.get(primary)
+            since = self.unavailable_since.get(primary)
             if (
                 since is not None
                 and now - since >= self.day.election.notice
-                and group.name not in self.electing
+                and group.name not in self.groups_in_election
             ):
-                self.electing.add(group.name)
+                self.groups_in_election.add(group.name)
                 self.env.at(
                     now + self.day.election.takes,
-                    lambda group=group, primary=primary: self._replace(group, primary),  # type: ignore[misc]
+                    lambda group=group, primary=primary: self._finish_election(group, primary),  # type: ignore[misc]
                 )
-        self.env.at(now + ELECT_LOOK, self._elect)
+        self.env.at(now + POLL_INTERVAL_S, self._check_primaries)
 
-    def _replace(self, group: Group, old: str) -> None:
-        self.electing.discard(group.name)
-        if old not in self.sick or self.stand.roles[group.name] != old:
+    def _finish_election(self, group: Group, old_primary: str) -> None:
+        """Promote the replica with the most of the log, unless the old primary is back or was replaced."""
+        self.groups_in_election.discard(group.name)
+        if old_primary not in self.unavailable_since or self.stand.roles[group.name] != old_primary:
             return
-        able = self._able(group, old)
-        if able:
-            self._crown(group, max(able, key=lambda host: host.node.offset))
+        candidates = self._promotion_candidates(group, old_primary)
+        if candidates:
+            self._promote(group, max(candidates, key=lambda host: host.node.offset))
 
-    def _able(self, group: Group, old: str) -> list[NodeHost]:
+    def _promotion_candidates(self, group: Group, old_primary: str) -> list[NodeHost]:
+        """Members of the group that are available, ready and not the old primary."""
         return [
-            self.stand.nodes[m.name]
-            for m in group.members
-            if m.name != old and m.name not in self.sick and self.stand.states[m.name] == "ready"
+            self.stand.nodes[member.name]
+            for member in group.members
+            if member.name != old_primary
+            and member.name not in self.unavailable_since
+            and self.stand.states[member.name] == "ready"
         ]
 
-    def _crown(self, group: Group, best: NodeHost) -> None:
-        best.do(best.node.promote(self.env.now()))
-        self.stand.roles[group.name] = best.node.name
-        self._role(best.node.name)
-        self.say(f"{best.node.name} is primary of {group.name}")
+    def _promote(self, group: Group, new_primary: NodeHost) -> None:
+        """Make a member primary and let the available members follow it."""
+        new_primary.do(new_primary.node.promote(self.env.now()))
+        self.stand.roles[group.name] = new_primary.node.name
+        self._record_primary(new_primary.node.name)
+        self.report_progress(f"{new_primary.node.name} is primary of {group.name}")
         for member in group.members:
-            if member.name not in self.sick:
-                self._follow(member.name)
+            if member.name not in self.unavailable_since:
+                self._follow_primary(member.name)
 
-    def _follow(self, name: str) -> None:
-        primary = self.stand.roles[self._group(name).name]
+    def _follow_primary(self, name: str) -> None:
+        """Let a member replicate from the primary of its group, unless it is that primary."""
+        primary = self.stand.roles[self._group_of(name).name]
         if primary != name:
             self.stand.follow(name, primary)
 
-    def _hand_over(self, name: str) -> None:
-        """A primary that drains takes no more writes, and the replica that has all of them takes over."""
-        group, old = self._group(name), self.stand.nodes[name]
-        able = self._able(group, name)
-        if not able:
+    def _hand_over_primary(self, name: str) -> None:
+        """Replace a primary that drains: it accepts no more writes, and the replica takes over once it has the log.
+
+        After `HANDOVER_TIMEOUT_S` the replica takes over with what it has.
+        """
+        group, old_primary = self._group_of(name), self.stand.nodes[name]
+        candidates = self._promotion_candidates(group, name)
+        if not candidates:
             return
-        old.node.readonly = True
-        best = max(able, key=lambda host: host.node.offset)
-        deadline = self.env.now() + HAND_OVER
+        old_primary.node.readonly = True
+        new_primary = max(candidates, key=lambda host: host.node.offset)
+        deadline = self.env.now() + HANDOVER_TIMEOUT_S
 
-        def look() -> None:
-            if best.node.offset < old.node.offset and self.env.now() < deadline:
-                self.env.at(self.env.now() + 0.005, look)
+        def check_progress() -> None:
+            if new_primary.node.offset < old_primary.node.offset and self.env.now() < deadline:
+                self.env.at(self.env.now() + HANDOVER_POLL_S, check_progress)
                 return
-            self._crown(group, best)
-            old.node.readonly = False
+            self._promote(group, new_primary)
+            old_primary.node.readonly = False
+
+        check_progress()
 
-        look()
 
+def make_head(day: Day, config: Config, routers: int, seed: int, start: float, crossing: float) -> Head:
+    """The head of a day's trace.
 
-def head(day: Day, config: Config, routers: int, seed: int, start: float, crossing: float) -> Head:
+    `start`: when the trace begins, in seconds on its clock. `crossing`: largest difference, in seconds, between the
+    times that both ends of a connection record for one event.
+    """
     rules = config.rules
     return Head(
         classes={
-            kind.name: {
-                "effect": kind.effect.value,
-                "need": kind.need.value,
-                "aim": kind.aim,
-                "deadline": kind.deadline,
-                "bound": kind.bound,
-                "worth": kind.worth,
-                "window": kind.window,
+            request_class.name: {
+                "effect": request_class.effect.value,
+                "need": request_class.need.value,
+                "aim": request_class.aim,
+                "deadline": request_class.deadline,
+                "bound": request_class.bound,
+                "worth": request_class.worth,
+                "window": request_class.window,
             }
-            for kind in config.classes
+            for request_class in config.classes
         },
         groups={member.name: group.name for group in config.groups for member in group.members},
         sources=[source(number) for number in range(routers)],
         drain_grace=rules.drain_grace,
-        told_within=TOLD_WITHIN,
+        told_within=ROSTER_READ_S,
         cold_share=rules.cold_share,
         cold_time=rules.cold_time,
         fall_multiple=rules.fall_multiple,
         fall_time=rules.fall_time,
         work=day.work,
-        cores=4,
+        cores=4,  # the default of an emulated member
         start=start,
         seed=seed,
         crossing=crossing,
@@ -570,12 +638,16 @@
 async def play(
     day: Day, config: Config, routers: int, seed: int, trace: Path, progress: Callable[[float, str], None]
 ) -> None:
-    """On sockets, with routers as processes. Errors: `OSError`, `RuntimeError` if a router does not start."""
+    """Play a day on sockets, with routers as processes, and write its trace to a file.
+
+    `progress` is called with the seconds since the start and a line of text. Errors, in an exception group: `OSError`
+    if the trace can't be written or an address can't be bound; `RuntimeError` if a router does not start.
+    """
     async with anyio.create_task_group() as tasks:
         env = SocketEnv(tasks)
-        record = Writer(trace, head(day, config, routers, seed, env.now(), ON_SOCKETS))
-        director = Director(env, day, config, routers, seed, record, progress)
-        processes = RouterProcesses(director.stand, tasks, time.monotonic() - time.time())
+        record = Writer(trace, make_head(day, config, routers, seed, env.now(), SOCKET_SKEW_S))
+        runner = DayRunner(env, day, config, routers, seed, record, progress)
+        processes = RouterProcesses(runner.stand, tasks, time.monotonic() - time.time())
         processes.addresses = ["127.0.0.1:0"] * routers
         try:
             async with anyio.create_task_group() as starting:
@@ -585,10 +657,10 @@
 
                 for number in range(routers):
                     starting.start_soon(start, number)
-            director.start(processes)
-            while not director.over:
-                await anyio.sleep(ELECT_LOOK)
-            director.finish()
+            runner.start(processes)
+            while not runner.is_finished:
+                await anyio.sleep(POLL_INTERVAL_S)
+            runner.finish()
         finally:
             with anyio.CancelScope(shield=True):
                 await processes.stop()
@@ -603,16 +675,20 @@
     seed: int,
     record: Callable[[Entry], None],
     progress: Callable[[float, str], None] = lambda at, text: None,
-    make: Callable[[Config, int], Machine] = build.machine,
+    make_machine: Callable[[Config, int], Machine] = build.machine,
 ) -> Head:
-    """In virtual time, in this process; the same seed gives the same trace. `make` builds a router's machine."""
+    """Play a day in virtual time, in this process; the same seed gives the same trace.
+
+    `record` is called with each entry, `progress` with the seconds since the start and a line of text. `make_machine`
+    builds a router's machine from the configuration and a seed.
+    """
     world = World(seed)
-    director = Director(world, day, config, routers, seed, record, progress)
+    runner = DayRunner(world, day, config, routers, seed, record, progress)
     begin = world.now()
-    director.start(RoutersHere(director.stand, routers, seed, make))
+    runner.start(RoutersHere(runner.stand, routers, seed, make_machine))
     until = begin + day.seconds
-    while not director.over:
+    while not runner.is_finished:
         world.run(until)
         until += 0.5
-    director.finish()
-    return head(day, config, routers, seed, begin, IN_VIRTUAL_TIME)
+    runner.finish()
+    return make_head(day, config, routers, seed, begin, VIRTUAL_SKEW_S)
--- a/banklift/judge/forms.py
+++ b/banklift/judge/forms.py
@@ -1,7 +1,8 @@
-"""The forms of requests that clients of a day send, and how their answers read.
+"""The forms of requests that the clients of a day send, and how their answers are decoded.
 
-Writes leave their request's number in the value (`17.0;`) and reads in a key (`{k5}:rid:17.0`), so that both ends of
-the sockets speak of the same request. A second key stands beside the first one and shares its hash tag.
+A write leaves its request id in the value (`17.0;`), a read in its first key (`{k5}:rid:17.0`), so that the entries of
+both ends of the sockets can be matched. The second key of a request is named after the first one and has the same hash
+tag, so both are in one hash slot.
 """
 
 from __future__ import annotations
@@ -12,81 +13,90 @@
 
 READS = ("get", "mget", "unit", "script")
 WRITES = ("append", "set", "del", "expire", "px", "unit", "script", "once")
-BRIEF = 400  # milliseconds that a key lives which a write gives an end
+SHORT_EXPIRY_MS = 400  # of keys that a write gives an expiry
 READ_SCRIPT = "return redis.call('MGET', KEYS[1], KEYS[2])"
 WRITE_SCRIPT = "redis.call('APPEND', KEYS[1], ARGV[1]) return redis.call('APPEND', KEYS[2], ARGV[1])"
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
-    """Bytes of a request, how many frames answer it (the last one counts), and the keys it touches."""
+class EncodedRequest:
+    """A request as RESP commands."""
 
     data: bytes
-    frames: int
-    keys: tuple[str, ...]
+    frames: int  # frames of the answer; the last one is the request's result
+    keys: tuple[str, ...]  # keys that the request touches, without its id
 
 
-def read(form: str, key: str, rid: str) -> Sent:
-    numbered, other = f"{key}:rid:{rid}", f"{key}:b"
+def encode_read(form: str, key: str, rid: str) -> EncodedRequest:
+    """A read of `key` with the request id `rid`. Errors: `ValueError` for a form that is none of `READS`."""
+    numbered_key, second_key = f"{key}:rid:{rid}", f"{key}:b"
     match form:
         case "get":
-            return Sent(command("GET", numbered), 1, (key,))
+            return EncodedRequest(command("GET", numbered_key), 1, (key,))
         case "mget":
-            return Sent(command("MGET", numbered, other), 1, (key, other))
+            return EncodedRequest(command("MGET", numbered_key, second_key), 1, (key, second_key))
         case "unit":
-            data = command("MULTI") + command("GET", numbered) + command("GET", other) + command("EXEC")
-            return Sent(data, 4, (key, other))
+            data = (
+                command("MULTI") + command("GET", numbered_key) + command("GET", second_key) + command("EXEC")
+            )
+            return EncodedRequest(data, 4, (key, second_key))
         case "script":
-            return Sent(command("EVAL_RO", READ_SCRIPT, 2, numbered, other), 1, (key, other))
+            return EncodedRequest(
+                command("EVAL_RO", READ_SCRIPT, 2, numbered_key, second_key), 1, (key, second_key)
+            )
     raise ValueError(f"no read has the form {form!r}; there are {', '.join(READS)}")
 
 
-def write(form: str, key: str, rid: str) -> Sent:
-    mark, other = f"{rid};", f"{key}:b"
+def encode_write(form: str, key: str, rid: str) -> EncodedRequest:
+    """A write to `key` with the request id `rid`. Errors: `ValueError` for a form that is none of `WRITES`."""
+    marker, second_key = f"{rid};", f"{key}:b"
     match form:
         case "append":
-            return Sent(command("APPEND", key, mark), 1, (key,))
-        case "once":  # its repeats do nothing: the key is the request's own
-            own = f"{key}:{rid.partition('.')[0]}"
-            return Sent(command("SETNX", own, mark), 1, (own,))
+            return EncodedRequest(command("APPEND", key, marker), 1, (key,))
+        case "once":  # idempotent: each effect has a key of its own, so a repeat changes nothing
+            effect_key = f"{key}:{rid.partition('.')[0]}"
+            return EncodedRequest(command("SETNX", effect_key, marker), 1, (effect_key,))
         case "set":
-            return Sent(command("SET", key, mark), 1, (key,))
+            return EncodedRequest(command("SET", key, marker), 1, (key,))
         case "px":
-            return Sent(command("SET", key, mark, "PX", BRIEF), 1, (key,))
+            return EncodedRequest(command("SET", key, marker, "PX", SHORT_EXPIRY_MS), 1, (key,))
         case "del":
-            return Sent(command("DEL", f"{other}:rid:{rid}", key), 1, (other, key))
+            return EncodedRequest(command("DEL", f"{second_key}:rid:{rid}", key), 1, (second_key, key))
         case "expire":
             data = (
                 command("MULTI")
-                + command("APPEND", key, mark)
-                + command("PEXPIRE", key, BRIEF)
+                + command("APPEND", key, marker)
+                + command("PEXPIRE", key, SHORT_EXPIRY_MS)
                 + command("EXEC")
             )
-            return Sent(data, 4, (key,))
+            return EncodedRequest(data, 4, (key,))
         case "unit":
             data = (
                 command("MULTI")
-                + command("APPEND", key, mark)
-                + command("APPEND", other, mark)
+                + command("APPEND", key, marker)
+                + command("APPEND", second_key, marker)
                 + command("EXEC")
             )
-            return Sent(data, 4, (key, other))
+            return EncodedRequest(data, 4, (key, second_key))
         case "script":
-            return Sent(command("EVAL", WRITE_SCRIPT, 2, key, other, mark), 1, (key, other))
+            return EncodedRequest(
+                command("EVAL", WRITE_SCRIPT, 2, key, second_key, marker), 1, (key, second_key)
+            )
     raise ValueError(f"no write has the form {form!r}; there are {', '.join(WRITES)}")
 
 
-def values(frame: bytes) -> list[str]:
-    """What a read's answer says its keys hold; "" for nothing."""
-    value = decode(frame)
-    found = value if isinstance(value, list) else [value]
+def decode_values(frame: bytes) -> list[str]:
+    """What a read's answer says its keys hold; "" for a key that does not exist."""
+    decoded = decode(frame)
+    values = decoded if isinstance(decoded, list) else [decoded]
     return [
-        one.decode("latin-1") if isinstance(one, bytes) else "" if one is None else repr(one) for one in found
+        value.decode("latin-1") if isinstance(value, bytes) else "" if value is None else repr(value)
+        for value in values
     ]
 
 
-def number(args: tuple[bytes, ...]) -> str:
-    """The request's number among a command's arguments; "" if there is none."""
+def find_request_id(args: tuple[bytes, ...]) -> str:
+    """The request id among a command's arguments; "" if there is none."""
     for arg in args:
         if b":rid:" in arg:
             return arg.rpartition(b":rid:")[2].decode("latin-1")
@@ -95,6 +105,6 @@
     return ""
 
 
-def plain(key: str) -> str:
-    """A key without the number of the request that it came with."""
+def without_request_id(key: str) -> str:
+    """A key without the request id that it was sent with."""
     return key.partition(":rid:")[0]
--- a/banklift/judge/randoms.py
+++ b/banklift/judge/randoms.py
@@ -1,8 +1,7 @@
-"""Days at random: any order to the stand at any time, from one seed, with what each day writes and reads as well.
+"""Random days: any orders at any time, over the requests of the day "short", all drawn from one seed.
 
-Every order of `day.ORDERS` has its chance. What an order breaks is mended later in the day, so that a day does not end
-with all members gone, and one that nobody would survive (every member of a group killed at once) may still come: the
-rules hold on such days too.
+Each order of `day.ORDERS` may be drawn, and each fault is ended later in the day, so that a day does not end with all
+members gone. A day may still kill every member of a group at once: the rules hold on such days too.
 """
 
 from __future__ import annotations
@@ -11,14 +10,13 @@
 
 import msgspec
 
-from banklift.judge.day import Day, Trouble, load_day
+from banklift.judge.day import Day, FaultOrder, load_day
 from banklift.proxy.plan import Config
 
-SECONDS = 6.0
-SIZES = (3, 8)  # routers
-SPELLS: dict[
-    str, tuple[float, float]
-] = {  # orders that a later one of the same name takes back: values, from and to
+DURATION_S = 6.0
+ROUTER_COUNT_RANGE = (3, 8)  # least and most routers
+# orders that a later order of the same name ends: least and greatest value
+VALUE_RANGES: dict[str, tuple[float, float]] = {
     "lag": (100, 10_000),
     "slow": (3, 100),
     "slow_for": (5, 300),
@@ -32,7 +30,8 @@
     "leavers": (0.3, 0.9),
     "roster_delay": (0.5, 3.0),
 }
-RESTS = {
+# values by which those orders are ended; 0 for the others
+RESET_VALUES = {
     "lag": 1.0,
     "slow": 1.0,
     "slow_for": 1.0,
@@ -41,7 +40,8 @@
     "cap": 10_000.0,
     "leavers": 0.2,
 }
-PAIRS = {
+# orders that another order ends
+ENDING_ORDERS = {
     "kill": "restart",
     "drain": "undrain",
     "hang": "thaw",
@@ -51,51 +51,55 @@
 
 
 def random_day(seed: int) -> tuple[Day, Config, int]:
-    """A day, its configuration and how many routers play it."""
+    """The day of a seed, its configuration and the number of routers."""
     random = Random(seed)
     day, config = load_day("short")
-    members = [member.name for group in config.groups for member in group.members]
-    places = [
-        *members,
+    member_names = [member.name for group in config.groups for member in group.members]
+    targets = [
+        *member_names,
         *(f"primary:{group.name}" for group in config.groups),
-        *(f"replica:{group.name}:{n}" for group in config.groups for n in (0, 1)),
+        *(f"replica:{group.name}:{index}" for group in config.groups for index in (0, 1)),
     ]
-    routers = random.randint(*SIZES)
-    troubles: list[Trouble] = []
-    absent = (random.choice(members[1:3]),) if random.random() < 0.2 else ()
-    troubles += [Trouble(at=random.uniform(1, 3), do="join", member=name) for name in absent]
+    routers = random.randint(*ROUTER_COUNT_RANGE)
+    orders: list[FaultOrder] = []
+    absent = (random.choice(member_names[1:3]),) if random.random() < 0.2 else ()
+    orders += [FaultOrder(at=random.uniform(1, 3), do="join", member=name) for name in absent]
     for _ in range(random.randint(1, 8)):
-        begin = random.uniform(0.3, SECONDS - 1.5)
+        begin = random.uniform(0.3, DURATION_S - 1.5)
         end = begin + random.uniform(0.1, 2.5)
-        do = random.choice([*SPELLS, *PAIRS, "hang", "kill", "lag", "withhold", "stall_router"])
-        member, router = random.choice(places), random.randrange(routers)
+        do = random.choice([*VALUE_RANGES, *ENDING_ORDERS, "hang", "kill", "lag", "withhold", "stall_router"])
+        member, router = random.choice(targets), random.randrange(routers)
         if do == "stall_router":
-            troubles.append(Trouble(at=begin, do=do, router=router, value=random.uniform(0.1, 1.5)))
+            orders.append(FaultOrder(at=begin, do=do, router=router, value=random.uniform(0.1, 1.5)))
         elif do == "kill_router":
-            troubles += [
-                Trouble(at=begin, do=do, router=router),
-                Trouble(at=end, do=PAIRS[do], router=router),
+            orders += [
+                FaultOrder(at=begin, do=do, router=router),
+                FaultOrder(at=end, do=ENDING_ORDERS[do], router=router),
             ]
-        elif do in SPELLS:
-            value = random.uniform(*SPELLS[do])
-            troubles += [
-                Trouble(at=begin, do=do, member=member, router=router, value=value),
-                Trouble(at=end, do=do, member=member, router=router, value=RESTS.get(do, 0.0)),
+        elif do in VALUE_RANGES:
+            value = random.uniform(*VALUE_RANGES[do])
+            orders += [
+                FaultOrder(at=begin, do=do, member=member, router=router, value=value),
+                FaultOrder(at=end, do=do, member=member, router=router, value=RESET_VALUES.get(do, 0.0)),
             ]
         else:
-            if do in ("hang", "kill") and random.random() < 0.4:  # what it runs last, no replica gets
-                troubles += [
-                    Trouble(at=begin - random.uniform(0.0, 0.3), do="withhold", member=member, value=1.0),
-                    Trouble(at=end, do="withhold", member=member),
+            if (
+                do in ("hang", "kill") and random.random() < 0.4
+            ):  # no replica gets the last writes before the fault
+                orders += [
+                    FaultOrder(at=begin - random.uniform(0.0, 0.3), do="withhold", member=member, value=1.0),
+                    FaultOrder(at=end, do="withhold", member=member),
                 ]
-            troubles += [
-                Trouble(at=begin, do=do, member=member, value=random.random(), probes=random.random() < 0.6),
-                Trouble(at=end, do=PAIRS[do], member=member),
+            orders += [
+                FaultOrder(
+                    at=begin, do=do, member=member, value=random.random(), probes=random.random() < 0.6
+                ),
+                FaultOrder(at=end, do=ENDING_ORDERS[do], member=member),
             ]
     day = msgspec.structs.replace(
         day,
         title=f"random day {seed}",
-        seconds=SECONDS,
+        seconds=DURATION_S,
         rate=random.choice((100.0, 250.0, 600.0)),
         sessions=random.choice((10, 60, 300)),
         roam=random.choice((0.0, 0.5, 1.0)),
@@ -105,6 +109,6 @@
         leavers=random.choice((0.0, 0.2)),
         work=random.choice((0.0005, 0.002, 0.008)),
         absent=absent,
-        troubles=sorted(troubles, key=lambda trouble: trouble.at),
+        troubles=sorted(orders, key=lambda order: order.at),
     )
     return day, config, routers
--- a/banklift/judge/trace.py
+++ b/banklift/judge/trace.py
@@ -39,7 +39,7 @@
     fall_time: float  # window over which that multiple is taken
     work: float  # CPU seconds of one command
     cores: int  # of each member
-    start: float  # when clients began
+    start: float  # when the trace began
     seed: int
     crossing: float = 0.15  # largest difference between the times that both ends record for one event
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -17,7 +17,7 @@
 from banklift.emulator.node import Act, Node
 from banklift.emulator.store import Store
 from banklift.interface import Effect, Need
-from banklift.judge.day import Day, Election, Trouble, load_day, play_virtual
+from banklift.judge.day import Day, Election, FaultOrder, load_day, play_virtual
 from banklift.judge.rules import judge
 from banklift.judge.trace import Entry, TraceError, Writer, read
 from banklift.judge.verdict import Verdict
@@ -31,7 +31,7 @@
 
 
 def play(
-    troubles: list[Trouble],
+    troubles: list[FaultOrder],
     make: Make = build.machine,
     routers: int = 2,
     seconds: float = 2.5,
@@ -47,18 +47,21 @@
         day, troubles=troubles, seconds=seconds, rate=rate, sessions=sessions, **changes
     )
     entries: list[Entry] = []
-    head = play_virtual(day, settings, routers, seed, entries.append, make=make)
+    head = play_virtual(day, settings, routers, seed, entries.append, make_machine=make)
     return judge(head, sorted(entries, key=lambda entry: entry.t))
 
 
-def each(do: str, at: float, value: float, members: str = "west-1 east-1") -> list[Trouble]:
-    return [Trouble(at=at, do=do, member=name, value=value) for name in members.split()]
+def each(do: str, at: float, value: float, members: str = "west-1 east-1") -> list[FaultOrder]:
+    return [FaultOrder(at=at, do=do, member=name, value=value) for name in members.split()]
 
 
-QUIET: list[Trouble] = []
-HANG = [Trouble(at=0.6, do="hang", member="west-0", value=1.0), Trouble(at=2.2, do="thaw", member="west-0")]
+QUIET: list[FaultOrder] = []
+HANG = [
+    FaultOrder(at=0.6, do="hang", member="west-0", value=1.0),
+    FaultOrder(at=2.2, do="thaw", member="west-0"),
+]
 LAG = each("lag", 0.3, 10_000)
-DRAIN = [Trouble(at=0.4, do="drain", member="west-1")]
+DRAIN = [FaultOrder(at=0.4, do="drain", member="west-1")]
 COLD = each("kill", 0.3, 0) + each("restart", 0.6, 0)
 CUT = each("cut", 0.3, 0.5, "west-0 east-0")
 BEHIND = each("delay", 0.3, 0.9, "west-0 east-0")  # every replica is that many seconds behind, all the time
@@ -69,7 +72,7 @@
     + each("kill", 0.75, 0, "west-0 east-0")
     + (each("thaw", 1.9, 0, "west-0 east-0") + each("restart", 2.0, 0, "west-0 east-0"))
 )
-SPLIT = [Trouble(at=0.6, do="split", member="west-0"), Trouble(at=0.6, do="split", member="east-0")]
+SPLIT = [FaultOrder(at=0.6, do="split", member="west-0"), FaultOrder(at=0.6, do="split", member="east-0")]
 SLOW = each("slow", 0.3, 400, "west-0 east-0")
 BUSY: Changes = {"rate": 1600, "work": 0.02, "sessions": 200, "batches": 0.0}
 CALM: Changes = {"leavers": 0.0}
@@ -90,7 +93,7 @@
 }
 
 # rule, reason, what is planted, the day's troubles, and how else the day differs
-PLANTED: list[tuple[int, str, Make, list[Trouble], Changes]] = [
+PLANTED: list[tuple[int, str, Make, list[FaultOrder], Changes]] = [
     (1, "no answer", making(faults.Mute), QUIET, {}),
     (1, "more than one final answer", making(faults.Stutter), QUIET, {}),
     (1, "no answer before the deadline", making(faults.Late), HANG, CALM),
@@ -150,14 +153,14 @@
 
 @pytest.mark.parametrize(("rule", "reason", "make", "troubles", "changes"), PLANTED)
 def test_planted_faults_are_caught(
-    rule: int, reason: str, make: Make, troubles: list[Trouble], changes: Changes
+    rule: int, reason: str, make: Make, troubles: list[FaultOrder], changes: Changes
 ) -> None:
     assert reason in reasons(play(troubles, make, **changes), rule)  # type: ignore[arg-type]
 
 
-def days() -> list[tuple[list[Trouble], Changes]]:
+def days() -> list[tuple[list[FaultOrder], Changes]]:
     """The days of the planted faults, each once."""
-    found: list[tuple[list[Trouble], Changes]] = []
+    found: list[tuple[list[FaultOrder], Changes]] = []
     for _, _, _, troubles, changes in PLANTED:
         if (troubles, changes) not in found:
             found.append((troubles, changes))
@@ -166,7 +169,7 @@
 
 @pytest.mark.parametrize(("troubles", "changes"), days())
 def test_the_days_of_planted_faults_are_honest_without_them(
-    troubles: list[Trouble], changes: Changes
+    troubles: list[FaultOrder], changes: Changes
 ) -> None:
     verdict = play(troubles, **changes)  # type: ignore[arg-type]
     assert not verdict.breaks
@@ -230,9 +233,9 @@
 def test_what_a_store_loses_at_a_fail_over_is_no_fault_of_the_router() -> None:
     """Writes acknowledged by a primary whose log reached nobody: counted apart, and no rule broken."""
     troubles = [
-        Trouble(at=0.5, do="withhold", member="west-0", value=1),
-        Trouble(at=0.8, do="kill", member="west-0"),
-        Trouble(at=1.8, do="restart", member="west-0"),
+        FaultOrder(at=0.5, do="withhold", member="west-0", value=1),
+        FaultOrder(at=0.8, do="kill", member="west-0"),
+        FaultOrder(at=1.8, do="restart", member="west-0"),
     ]
     verdict = play(troubles)
     assert not verdict.breaks
@@ -242,7 +245,7 @@
 
 def test_too_many_excuses_fail_a_day() -> None:
     kills = [
-        Trouble(at=0.4 + 0.3 * n, do="kill_router" if n % 2 == 0 else "start_router", router=0)
+        FaultOrder(at=0.4 + 0.3 * n, do="kill_router" if n % 2 == 0 else "start_router", router=0)
         for n in range(6)
     ]
     verdict = play(
--- a/tests/test_play.py
+++ b/tests/test_play.py
@@ -7,18 +7,18 @@
 import anyio
 import msgspec
 
-from banklift.judge.day import Trouble, load_day, play
+from banklift.judge.day import FaultOrder, load_day, play
 from banklift.judge.rules import judge
 from banklift.judge.trace import read
 from tests.test_clients import patient
 
 TROUBLES = [
-    Trouble(at=0.5, do="lag", member="west-1", value=10_000),
-    Trouble(at=0.8, do="hang", member="east-0", value=1.0),
-    Trouble(at=1.5, do="kill_router", router=0),
-    Trouble(at=1.6, do="start_router", router=0),
-    Trouble(at=2.0, do="thaw", member="east-0"),
-    Trouble(at=2.0, do="kill", member="west-0"),
+    FaultOrder(at=0.5, do="lag", member="west-1", value=10_000),
+    FaultOrder(at=0.8, do="hang", member="east-0", value=1.0),
+    FaultOrder(at=1.5, do="kill_router", router=0),
+    FaultOrder(at=1.6, do="start_router", router=0),
+    FaultOrder(at=2.0, do="thaw", member="east-0"),
+    FaultOrder(at=2.0, do="kill", member="west-0"),
 ]
 
 
--- a/tests/test_random_days.py
+++ b/tests/test_random_days.py
@@ -5,7 +5,7 @@
 import pytest
 
 from banklift.judge.day import ORDERS, play_virtual
-from banklift.judge.randoms import SIZES, random_day
+from banklift.judge.randoms import ROUTER_COUNT_RANGE, random_day
 from banklift.judge.rules import judge
 from banklift.judge.trace import Entry
 
@@ -39,5 +39,5 @@
 def test_random_days_give_every_order_and_size() -> None:
     days = [random_day(seed) for seed in range(300)]
     assert {trouble.do for day, _, _ in days for trouble in day.troubles} == set(ORDERS)
-    assert {routers for _, _, routers in days} == set(range(SIZES[0], SIZES[1] + 1))
+    assert {routers for _, _, routers in days} == set(range(ROUTER_COUNT_RANGE[0], ROUTER_COUNT_RANGE[1] + 1))
     assert random_day(7) == random_day(7)
