--- a/banklift/judge/days/short.jsonnet
+++ b/banklift/judge/days/short.jsonnet
@@ -1,4 +1,4 @@
-// The demonstration: a lagging replica, a primary that hangs, one that dies, a drain, a router killed.
+// The demonstration: a lagging replica, a primary that hangs, a primary that is killed, a drain, and a router that is killed.
 {
   title: 'a short bad day',
   seconds: 14,
