--- a/tests/faults.py
+++ b/tests/faults.py
@@ -1,7 +1,7 @@
-"""Routers and members that do wrong, each in one way: what the judge has to catch.
+"""Faulty routers, each wrong in one way, which the judge has to catch.
 
-A fault is planted by a machine that overrides one step of the honest one, by a front that does, by an operator's file
-that lies to its router, or in a stand-in member. Everything else is the honest code.
+A fault is planted by a subclass of the router's machine or front that overrides one step, or by a configuration of the
+router that differs from the one the judge has. Everything else is the router's own code.
 """
 
 from __future__ import annotations
@@ -22,181 +22,192 @@
 from banklift.resp.front import Client, Place, RespFront
 from banklift.resp.proofs import RespProofs
 
-Make = Callable[[Config, int], Machine]
-ONE_IN = 20  # requests that a fault strikes, where it strikes now and then
+MachineFactory = Callable[[Config, int], Machine]
+FAULT_INTERVAL = 20  # an occasional fault affects one request in this many
 
 
-def making(kind: type[Machine], front: type[RespFront] = RespFront) -> Make:
-    def make(config: Config, seed: int) -> Machine:
-        honest = build.machine(config, seed)
-        return kind(
-            honest.balancer.settings,
+def faulty_router(machine_type: type[Machine], front: type[RespFront] = RespFront) -> MachineFactory:
+    """Builds a router from this type of machine and this type of front."""
+
+    def build_machine(config: Config, seed: int) -> Machine:
+        correct = build.machine(config, seed)
+        return machine_type(
+            correct.balancer.settings,
             config.limits,
             len(config.groups),
             seed,
-            honest.wire,
+            correct.wire,
             lambda core: front(config, core),
         )
 
-    return make
+    return build_machine
+
 
+def misconfigured_router(**changes: dict[str, object]) -> MachineFactory:
+    """Builds a router whose configuration of some classes differs from the one that the judge has.
 
-def lying(**changes: dict[str, object]) -> Make:
-    """A router whose file says something else of some classes than the honest one."""
+    `changes`: by name of the class, with `_` for `-`.
+    """
 
-    def make(config: Config, seed: int) -> Machine:
+    def build_machine(config: Config, seed: int) -> Machine:
         classes = [
-            msgspec.structs.replace(kind, **changes.get(kind.name.replace("-", "_"), {}))
-            for kind in config.classes
+            msgspec.structs.replace(request_class, **changes.get(request_class.name.replace("-", "_"), {}))
+            for request_class in config.classes
         ]
         return build.machine(msgspec.structs.replace(config, classes=classes), seed)
 
-    return make
+    return build_machine
 
 
-def half(make: Make) -> Make:
-    """Every other router is honest."""
-    return lambda config, seed: (make if seed % 2 else build.machine)(config, seed)
+def every_other_router(build_machine: MachineFactory) -> MachineFactory:
+    """Builds every other router with the fault, the rest without."""
+    return lambda config, seed: (build_machine if seed % 2 else build.machine)(config, seed)
 
 
-def sticky(config: Config, seed: int) -> Machine:
-    """A router whose file says that sessions do not roam, though they do."""
+def misconfigured_sessions(config: Config, seed: int) -> Machine:
+    """Builds a router whose configuration says that sessions stay on one router, though they roam."""
     return build.machine(msgspec.structs.replace(config, sessions="connection"), seed)
 
 
-def proofs_of(machine: Machine) -> RespProofs:
+def resp_proofs(machine: Machine) -> RespProofs:
+    """The part of a machine that checks how current a member is."""
     assert isinstance(machine.proofs, RespProofs)
     return machine.proofs
 
 
-# ---- one final answer
+# ---- rule 1, one final answer
 
 
-class Mute(Machine):
-    """Forgets to answer one request in twenty."""
+class DropsAnswers(Machine):
+    """Does not answer one request in twenty."""
 
     def _finish(self, request: int, final: Final) -> None:
-        if request % ONE_IN:
+        if request % FAULT_INTERVAL:
             super()._finish(request, final)
 
 
-class Stutter(Machine):
-    """Says one answer in twenty twice."""
+class DuplicatesAnswers(Machine):
+    """Sends one answer in twenty twice."""
 
     def handle(self, now: float, event: ev.Event) -> list[ev.Action]:
         actions = super().handle(now, event)
         for action in list(actions):
-            if isinstance(action, ev.ToClient) and self.ids % ONE_IN == 0:
+            if isinstance(action, ev.ToClient) and self.ids % FAULT_INTERVAL == 0:
                 actions.append(action)
         return actions
 
 
-class Late(Machine):
-    """Gives requests more time than their class has."""
+class ExtendsDeadlines(Machine):
+    """Gives requests a second more than the deadline of their class."""
 
     def patience(self, kind: io.RequestClass) -> float:
         return kind.deadline + 1.0
 
 
-class Closer(Machine):
-    """Closes the connection where it should fail a request."""
+class ClosesInsteadOfFailing(Machine):
+    """Closes the client's connection where it should answer with an error."""
 
     def _finish(self, request: int, final: Final) -> None:
         if isinstance(final, Served):
             return super()._finish(request, final)
-        open_ = self.open.pop(request)
-        self.queues.leave(open_.ask.group, open_.ask.kind.name, self.now)
-        self.actions.append(ev.CloseClient(open_.ask.client))
-        self.front.lost(open_.ask.client)
+        pending = self.open.pop(request)
+        self.queues.leave(pending.ask.group, pending.ask.kind.name, self.now)
+        self.actions.append(ev.CloseClient(pending.ask.client))
+        self.front.lost(pending.ask.client)
 
 
-class Blocked(RespFront):
-    """Lets what is late in a line hold up what is behind it."""
+class BlocksBehindLateAnswers(RespFront):
+    """Lets an overdue request delay the answers to the requests behind it on its connection."""
 
     def _overdue(self, state: Client, place: Place) -> None:
         return
 
 
-class Zombie(Machine):
-    """Sends a request once more after its answer."""
+class ResendsAfterAnswer(Machine):
+    """Sends a request to a member once more after its final answer."""
 
     def _finish(self, request: int, final: Final) -> None:
-        open_ = self.open.get(request)
-        last = open_.attempts[-1] if open_ is not None and open_.attempts else None
+        pending = self.open.get(request)
+        last_attempt = pending.attempts[-1] if pending is not None and pending.attempts else None
         super()._finish(request, final)
-        if open_ is not None and last is not None and request % ONE_IN == 0 and isinstance(final, Served):
-            link = last.link
+        if (
+            pending is not None
+            and last_attempt is not None
+            and request % FAULT_INTERVAL == 0
+            and isinstance(final, Served)
+        ):
+            link = last_attempt.link
             if link is not None and link.id in self.links:
-                data = open_.ask.exchange.payload(last.question)
+                data = pending.ask.exchange.payload(last_attempt.question)
                 self.at(self.now + 0.2, lambda: self.actions.append(ev.ToLink(link.id, data)))
 
 
-class Undead(Machine):
-    """Goes on with requests whose clients have left."""
+class IgnoresLeftClients(Machine):
+    """Goes on with requests whose client has left."""
 
     def abandon(self, request: int) -> None:
         return
 
 
-class WriteSwap(Machine):
-    """Answers a write with the answer of the write before."""
+class SwapsWriteAnswers(Machine):
+    """Gives every third write the answer of the write before it."""
 
-    last: bytes | None = None
+    last_answer: bytes | None = None
 
     def _finish(self, request: int, final: Final) -> None:
-        open_ = self.open.get(request)
-        if isinstance(final, Served) and open_ is not None and open_.ask.kind.need is Need.WRITE:
-            before, self.last = self.last, final.answer
-            if before is not None and request % 3 == 0:
-                final = Served(before, final.seen)
+        pending = self.open.get(request)
+        if isinstance(final, Served) and pending is not None and pending.ask.kind.need is Need.WRITE:
+            previous, self.last_answer = self.last_answer, final.answer
+            if previous is not None and request % 3 == 0:
+                final = Served(previous, final.seen)
         super()._finish(request, final)
 
 
-# ---- no effect twice, true words
+# ---- rule 2, no effect twice
 
 
-class Shameless(Machine):
-    """Refuses what may have run, whatever it is."""
+class RefusesFailedRequests(Machine):
+    """Refuses requests that may have been executed, as if nothing had run."""
 
     def _finish(self, request: int, final: Final) -> None:
         super()._finish(request, Refused(0.1) if isinstance(final, Failed) else final)
 
 
-class Smooth(Machine):
-    """Calls everything safe to repeat."""
+class CallsFailedRequestsRepeatable(Machine):
+    """Refuses requests that may have been executed and calls them safe to repeat, whatever their effect."""
 
     def _finish(self, request: int, final: Final) -> None:
         super()._finish(request, Refused(0.1, True) if isinstance(final, Failed) else final)
 
 
-class Innocent(Machine):
-    """Says that nothing ran, whatever was sent."""
+class ForgetsAttempts(Machine):
+    """Takes every request for one that reached no member, so that it says nothing ran."""
 
     def touched(self, request: int) -> bool:
         return False
 
 
-class Doubler(Machine):
-    """Sends reads to two members at once."""
+class SendsReadsTwice(Machine):
+    """Sends one read in twenty to two members at once."""
 
     def _send(self, request: int, member: str, timeout: float) -> None:
         super()._send(request, member, timeout)
-        open_, node = self.open.get(request), self.aliases.get(member)
-        if open_ is None or node is None or open_.ask.kind.need is Need.WRITE or request % ONE_IN:
+        pending, node = self.open.get(request), self.aliases.get(member)
+        if pending is None or node is None or pending.ask.kind.need is Need.WRITE or request % FAULT_INTERVAL:
             return
         for other in self.nodes.values():
             if other.group == node.group and other is not node and (idle := other.idle.get(2)):
-                link = idle.pop()  # never asked again, so its answer goes nowhere
+                link = idle.pop()  # the link is not used again, so its answer is ignored
                 del self.idle[link.id]
-                self.actions.append(ev.ToLink(link.id, open_.ask.exchange.payload(Question.NONE)))
+                self.actions.append(ev.ToLink(link.id, pending.ask.exchange.payload(Question.NONE)))
                 return
 
 
-class Liar(Machine):
-    """Acknowledges writes that it sends nowhere."""
+class AcknowledgesUnsentWrites(Machine):
+    """Acknowledges one write in twenty without sending it."""
 
     def submit(self, ask: Ask) -> int:
-        if ask.kind.need is Need.WRITE and (self.ids + 1) % ONE_IN == 0:
+        if ask.kind.need is Need.WRITE and (self.ids + 1) % FAULT_INTERVAL == 0:
             self.ids += 1
             ask.ids.append(self.ids)
             self.front.done(ask, Served(b":5\r\n"))
@@ -204,113 +215,118 @@
         return super().submit(ask)
 
 
-# ---- drains, cold members
+# ---- rules 3 and 4, drains and cold members
 
 
-class Deaf(Machine):
-    """Hears the first roster only."""
+class IgnoresRosterChanges(Machine):
+    """Ignores every roster after the first."""
 
     def _roster(self, members: tuple[ev.Listed, ...], kind: io.ListKind = io.ListKind.FULL) -> None:
         if not self.nodes:
             super()._roster(members)
 
 
-class HalfDeaf(Machine):
-    """Takes every member that is listed for ready."""
+class IgnoresDrains(Machine):
+    """Takes every listed member for ready."""
 
     def _roster(self, members: tuple[ev.Listed, ...], kind: io.ListKind = io.ListKind.FULL) -> None:
         super()._roster(tuple(msgspec.structs.replace(one, state=io.State.READY) for one in members))
 
 
-class Young(Machine):
-    """Takes every member for a warm one."""
+class IgnoresStartTimes(Machine):
+    """Takes every member for a warm one, as it ignores when members started."""
 
     def _roster(self, members: tuple[ev.Listed, ...], kind: io.ListKind = io.ListKind.FULL) -> None:
         super()._roster(tuple(msgspec.structs.replace(one, started=None) for one in members))
 
 
-# ---- no stale read
+# ---- rule 5, no stale read
 
 
-class Credulous(Machine):
-    """Believes that every replica is current."""
+class SkipsStalenessChecks(Machine):
+    """Takes every replica for current enough for any read."""
 
     def __init__(self, *args: object) -> None:
         super().__init__(*args)  # type: ignore[arg-type]
-        proofs_of(self).proves = lambda attempt, fact: True  # type: ignore[method-assign]
+        resp_proofs(self).proves = lambda attempt, fact: True  # type: ignore[method-assign]
 
     def submit(self, ask: Ask) -> int:
         ask.seen, ask.current = None, False
         return super().submit(ask)
 
 
-class NowTrack(Track):
+class AlwaysCurrentTrack(Track):
+    """Takes every offset for the newest one."""
+
     def position(self, replid: str, offset: int) -> float | None:
         return 1e9
 
 
-class Sloppy(Machine):
-    """Takes any offset for the present."""
+class TakesAnyOffsetAsCurrent(Machine):
+    """Takes every offset that a member reports for the newest one."""
 
     def __init__(self, *args: object) -> None:
         super().__init__(*args)  # type: ignore[arg-type]
-        proofs_of(self).tracks[:] = [NowTrack() for _ in proofs_of(self).tracks]
+        resp_proofs(self).tracks[:] = [AlwaysCurrentTrack() for _ in resp_proofs(self).tracks]
 
 
-class LoyalTrack(Track):
-    """Knows the first history that it heard of, and no other."""
+class FirstHistoryTrack(Track):
+    """Accepts the first replication history and no later one."""
 
     def _succeed(self, member: str, standing: Standing, replid: str, now: float) -> bool:
         return self.replid is None and super()._succeed(member, standing, replid, now)
 
 
-class Loyal(Machine):
-    """Goes on reading from the old line after it was told of the new one."""
+class KeepsFirstHistory(Machine):
+    """Goes on reading from the old replication history after a member reported the new one."""
 
     def __init__(self, *args: object) -> None:
         super().__init__(*args)  # type: ignore[arg-type]
-        proofs_of(self).tracks[:] = [LoyalTrack() for _ in proofs_of(self).tracks]
+        resp_proofs(self).tracks[:] = [FirstHistoryTrack() for _ in resp_proofs(self).tracks]
 
 
-class Forgetful(Machine):
-    """Keeps no mark of what a session has read."""
+class DropsTokensOfReads(Machine):
+    """Gives sessions no token for the positions of their reads."""
 
     def _finish(self, request: int, final: Final) -> None:
-        open_ = self.open.get(request)
-        if isinstance(final, Served) and open_ is not None and open_.ask.kind.need is not Need.WRITE:
+        pending = self.open.get(request)
+        if isinstance(final, Served) and pending is not None and pending.ask.kind.need is not Need.WRITE:
             final = Served(final.answer)
         super()._finish(request, final)
 
 
-class Amnesiac(Machine):
-    """Keeps no mark of what a session has written."""
+class DropsAllTokens(Machine):
+    """Gives sessions no token for the positions of their reads and writes."""
 
     def _finish(self, request: int, final: Final) -> None:
         super()._finish(request, Served(final.answer) if isinstance(final, Served) else final)
 
 
-def swapping(need: Need, among: tuple[Need, ...] | None = None) -> type[Machine]:
-    """Answers a read of one class now and then with the answer of the one before, of this class or of some others:
-    somebody else's, as every request comes from another session."""
+def swapping_read_answers(need: Need, among: tuple[Need, ...] | None = None) -> type[Machine]:
+    """A machine that gives every fifth read with this need the answer of the read before it.
+
+    That read has one of the needs `among`, by default the same need. Requests come from different sessions, so it is
+    another session's answer.
+    """
 
-    class Swapping(Machine):
-        last: bytes | None = None
+    class SwapsReadAnswers(Machine):
+        last_answer: bytes | None = None
 
         def _finish(self, request: int, final: Final) -> None:
-            open_ = self.open.get(request)
-            if isinstance(final, Served) and open_ is not None:
-                before = self.last
-                if open_.ask.kind.need in (among or (need,)):
-                    self.last = final.answer
-                if open_.ask.kind.need is need and before is not None and request % 5 == 0:
-                    final = Served(before, final.seen)
+            pending = self.open.get(request)
+            if isinstance(final, Served) and pending is not None:
+                previous = self.last_answer
+                if pending.ask.kind.need in (among or (need,)):
+                    self.last_answer = final.answer
+                if pending.ask.kind.need is need and previous is not None and request % 5 == 0:
+                    final = Served(previous, final.seen)
             super()._finish(request, final)
 
-    return Swapping
+    return SwapsReadAnswers
 
 
-class Shifted(RespFront):
-    """Gives the answers of a line with one in front of its own, now and then: a batch is shifted by one."""
+class ShiftsBatchAnswers(RespFront):
+    """Shifts the answers of a batch by one where all of them are ready and hold values."""
 
     def _flush(self, state: Client) -> None:
         line = list(state.line)
@@ -325,26 +341,28 @@
         super()._flush(state)
 
 
-class Caching(Machine):
-    """Serves reads of one key that came before from memory."""
+class ServesCachedReads(Machine):
+    """Serves every third read of the need "any" from the answer to an earlier read of the same keys."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.cache: dict[bytes, bytes] = {}
+        self.cached_answers: dict[bytes, bytes] = {}
 
     def submit(self, ask: Ask) -> int:
         key = ask.exchange.payload(Question.NONE).partition(b":rid:")[0]
-        if ask.kind.need is Need.ANY and key in self.cache and self.ids % 3 == 0:
+        if ask.kind.need is Need.ANY and key in self.cached_answers and self.ids % 3 == 0:
             self.ids += 1
             ask.ids.append(self.ids)
-            self.front.done(ask, Served(self.cache[key]))
+            self.front.done(ask, Served(self.cached_answers[key]))
             return self.ids
         return super().submit(ask)
 
     def _finish(self, request: int, final: Final) -> None:
-        open_ = self.open.get(request)
-        if isinstance(final, Served) and open_ is not None:
-            self.cache[open_.ask.exchange.payload(Question.NONE).partition(b":rid:")[0]] = final.answer
+        pending = self.open.get(request)
+        if isinstance(final, Served) and pending is not None:
+            self.cached_answers[pending.ask.exchange.payload(Question.NONE).partition(b":rid:")[0]] = (
+                final.answer
+            )
         super()._finish(request, final)
 
 
--- a/tests/surroundings.py
+++ b/tests/surroundings.py
@@ -1,4 +1,4 @@
-"""Surroundings on real sockets for one test, until what it waits for has come."""
+"""Runs a test on real sockets (`SocketEnv`) until its condition holds."""
 
 from __future__ import annotations
 
@@ -11,37 +11,39 @@
 from banklift.net.env import Peer
 from banklift.net.sockets import SocketEnv
 
-PATIENCE = (
-    20.0  # seconds after which what has not come does not come; no verdict hangs on it where all is well
-)
+# seconds after which a test stops waiting for its condition; a passing test never waits that long
+PATIENCE = 20.0
 
 
-def run(act: Callable[[SocketEnv], Callable[[], bool]], alone: bool = True) -> None:
-    """Let `act` begin, and run until what it returned is true."""
+def run(start: Callable[[SocketEnv], Callable[[], bool]], alone: bool = True) -> None:
+    """Call `start` in an event loop, and run until the condition that it returns holds, or `PATIENCE` has passed.
 
-    async def play() -> None:
+    `alone`: passed on to `SocketEnv`, where it means that nothing else needs the event loop.
+    """
+
+    async def run_in_loop() -> None:
         async with anyio.create_task_group() as tasks:
             env = SocketEnv(tasks, alone=alone)
-            over, end = act(env), env.now() + PATIENCE
+            is_done, end = start(env), env.now() + PATIENCE
 
-            def look() -> None:
-                if not over() and env.now() < end:
-                    env.at(env.now() + 0.001, look)
+            def check() -> None:
+                if not is_done() and env.now() < end:
+                    env.at(env.now() + 0.001, check)
                 elif alone:
                     env.stop()
                 else:
                     tasks.cancel_scope.cancel()
 
-            look()
+            check()
 
     with anyio.from_thread.start_blocking_portal() as portal:
-        portal.call(play)
+        portal.call(run_in_loop)
 
 
 def pair(env: SocketEnv, peers: list[Peer], many: int) -> list[socket.socket]:
-    """So many connections, taken already; each peer has one."""
+    """Open `many` connections over loopback: returns the callers' ends; each peer of `peers` has an accepted end."""
     listener = env.listen("127.0.0.1:0", lambda: peers.pop(0))
     host, _, port = listener.address.partition(":")
-    callers = [socket.create_connection((host, int(port)), timeout=20) for _ in range(many)]
+    connections = [socket.create_connection((host, int(port)), timeout=20) for _ in range(many)]
     listener.close()
-    return callers
+    return connections
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,4 @@
-"""Each kind of trouble that the bench names has a day of ours that causes it: its symptom shows, the rules are kept."""
+"""Each kind of fault of the bench has a day that causes it: the day's symptoms show, and no rule is broken."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from banklift.judge.symptoms import symptoms
 from banklift.judge.trace import Entry
 
-KINDS = (
+FAULT_DAYS = (
     "ageing",
     "balancer_roll",
     "balancer_stall",
@@ -34,46 +34,49 @@
     "replica_lag",
     "slow",
 )
-SERVED = {"give_up": 0.75, "deploy": 0.85}  # least share of what was asked; elsewhere 0.95
+LEAST_SERVED = {"give_up": 0.75, "deploy": 0.85}  # least share of the requests asked; 0.95 on other days
 
 
-def test_every_kind_has_a_day() -> None:
-    assert len(KINDS) == 19
-    assert {path.stem for path in DAYS.glob("*.jsonnet")} == {*KINDS, "short"}
+def test_each_kind_of_fault_has_a_day() -> None:
+    assert len(FAULT_DAYS) == 19
+    assert {path.stem for path in DAYS.glob("*.jsonnet")} == {*FAULT_DAYS, "short"}
 
 
-@pytest.mark.parametrize("name", KINDS)
-def test_a_day_shows_its_trouble_and_keeps_the_rules(name: str) -> None:
+@pytest.mark.parametrize("name", FAULT_DAYS)
+def test_day_shows_its_symptoms_and_breaks_no_rule(name: str) -> None:
     day, config = load_day(name)
     entries: list[Entry] = []
     head = play_virtual(day, config, 2, 1, entries.append)
     entries.sort(key=lambda entry: entry.t)
     verdict = judge(head, entries)
     assert not verdict.breaks
-    seen = symptoms(head, entries)
-    assert {name: seen.get(name, 0) for name, least in day.shows.items() if seen.get(name, 0) < least} == {}
+    figures = symptoms(head, entries)
+    assert {
+        name: figures.get(name, 0) for name, least in day.shows.items() if figures.get(name, 0) < least
+    } == {}
     assert day.shows
     asked = sum(tally.asked for tally in verdict.tallies.values())
-    assert sum(tally.served for tally in verdict.tallies.values()) >= SERVED.get(name, 0.95) * asked
+    assert sum(tally.served for tally in verdict.tallies.values()) >= LEAST_SERVED.get(name, 0.95) * asked
 
 
-@pytest.mark.parametrize("name", KINDS)
-def test_a_quiet_day_shows_no_trouble(name: str) -> None:
-    """A symptom that a quiet day shows too would prove nothing."""
+@pytest.mark.parametrize("name", FAULT_DAYS)
+def test_symptoms_do_not_show_on_a_day_without_faults(name: str) -> None:
+    """Guards against a symptom that shows without the fault too, and so proves nothing."""
     day, _ = load_day(name)
-    assert any(quiet().get(symptom, 0) < least for symptom, least in day.shows.items())
+    assert any(figures_without_faults().get(symptom, 0) < least for symptom, least in day.shows.items())
 
 
-_QUIET: dict[str, float] = {}
+_FIGURES_WITHOUT_FAULTS: dict[str, float] = {}
 
 
-def quiet() -> dict[str, float]:
-    if not _QUIET:
+def figures_without_faults() -> dict[str, float]:
+    """The symptoms of a day without any orders, computed once."""
+    if not _FIGURES_WITHOUT_FAULTS:
         day, config = load_day("slow")
         entries: list[Entry] = []
         head = play_virtual(msgspec.structs.replace(day, troubles=[]), config, 2, 1, entries.append)
-        _QUIET.update(symptoms(head, sorted(entries, key=lambda entry: entry.t)))
-    return _QUIET
+        _FIGURES_WITHOUT_FAULTS.update(symptoms(head, sorted(entries, key=lambda entry: entry.t)))
+    return _FIGURES_WITHOUT_FAULTS
 
 
 @pytest.mark.parametrize(
@@ -96,7 +99,7 @@
         ),
     ],
 )
-def test_a_bad_day_is_refused_with_its_place(tmp_path: Path, text: str, reason: str) -> None:
+def test_invalid_day_file_is_refused_with_path_and_place(tmp_path: Path, text: str, reason: str) -> None:
     path = tmp_path / "bad.jsonnet"
     path.write_text(text)
     with pytest.raises(ConfigError) as caught:
@@ -104,6 +107,6 @@
     assert str(caught.value).startswith(str(path)) and reason in str(caught.value)
 
 
-def test_an_unknown_day_names_those_there_are() -> None:
+def test_unknown_day_is_refused_with_the_known_names() -> None:
     with pytest.raises(ConfigError, match=r"there are: .*hang"):
         load_day("nonsense")
--- a/tests/test_play.py
+++ b/tests/test_play.py
@@ -1,4 +1,7 @@
-"""A day on sockets with routers as processes; the rules that a slow machine can't falsify are judged."""
+"""A day on sockets, with routers as processes.
+
+Only rules 2 and 5 are judged: the others depend on times, and a slow machine could break them.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 from banklift.judge.trace import read
 from tests.test_clients import patient
 
-TROUBLES = [
+ORDERS = [
     FaultOrder(at=0.5, do="lag", member="west-1", value=10_000),
     FaultOrder(at=0.8, do="hang", member="east-0", value=1.0),
     FaultOrder(at=1.5, do="kill_router", router=0),
@@ -22,16 +25,15 @@
 ]
 
 
-def test_picks_are_saved_once_and_read_as_saved(tmp_path: Path) -> None:
+def test_day_on_sockets_has_no_repeated_effect_and_no_stale_read(tmp_path: Path) -> None:
     day, config = load_day("short")
-    day = msgspec.structs.replace(day, troubles=TROUBLES, seconds=3, rate=100, sessions=20, leavers=0.0)
+    day = msgspec.structs.replace(day, troubles=ORDERS, seconds=3, rate=100, sessions=20, leavers=0.0)
     anyio.run(play, day, patient(config, 3), 2, 3, tmp_path / "trace", lambda at, text: None)
     head, entries = read(tmp_path / "trace")
     verdict = judge(head, entries)
-    assert not [found for found in verdict.breaks if found.rule in (2, 5)]
+    assert not [violation for violation in verdict.breaks if violation.rule in (2, 5)]
     assert verdict.counts["effects acknowledged and kept"] > 20
-    assert (
-        sum(tally.aged for tally in verdict.tallies.values()) > 50
-    )  # reads that an old answer would have shown at
+    # enough reads by which a stale answer would have been noticed
+    assert sum(tally.aged for tally in verdict.tallies.values()) > 50
     assert sum(entry.k == "killed" for entry in entries) == 1
     assert {entry.member for entry in entries if entry.k == "role"} > {"west-0", "east-0"}
--- a/tests/test_random_days.py
+++ b/tests/test_random_days.py
@@ -1,4 +1,4 @@
-"""Days at random that once broke a rule, and a few more: a failing seed is a test for ever."""
+"""Random days: each seed that once broke a rule stays as a regression test, beside a few others."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 from banklift.judge.rules import judge
 from banklift.judge.trace import Entry
 
-FOUND = (
+# each found a defect of the router or of the test rig
+DEFECT_SEEDS = (
     29,
     46,
     69,
@@ -23,11 +24,11 @@
     247,
     369,
     372,
-)  # each of a defect of the router or of the rig
+)
 
 
-@pytest.mark.parametrize("seed", [*FOUND, 1000, 1001, 1002])
-def test_a_random_day_keeps_the_rules(seed: int) -> None:
+@pytest.mark.parametrize("seed", [*DEFECT_SEEDS, 1000, 1001, 1002])
+def test_random_day_breaks_no_rule(seed: int) -> None:
     day, config, routers = random_day(seed)
     entries: list[Entry] = []
     head = play_virtual(day, config, routers, seed, entries.append)
@@ -36,8 +37,8 @@
     assert sum(tally.aged for tally in verdict.tallies.values()) > 20
 
 
-def test_random_days_give_every_order_and_size() -> None:
+def test_random_days_cover_all_orders_and_router_counts() -> None:
     days = [random_day(seed) for seed in range(300)]
-    assert {trouble.do for day, _, _ in days for trouble in day.troubles} == set(ORDERS)
+    assert {order.do for day, _, _ in days for order in day.troubles} == set(ORDERS)
     assert {routers for _, _, routers in days} == set(range(ROUTER_COUNT_RANGE[0], ROUTER_COUNT_RANGE[1] + 1))
     assert random_day(7) == random_day(7)
