--- a/banklift/judge/day.py
+++ b/banklift/judge/day.py
@@ -102,7 +102,7 @@
     rate: Positive  # arrivals per second
     sessions: Annotated[int, Meta(ge=1)] = 50
     roam: Seconds = 0.5  # share of batches that go to a random router, not to the session's own
-    helped: bool = False  # sessions send the consistency token of their last write
+    helped: bool = False  # sessions send and ask for consistency tokens
     named: bool = False  # sessions send their name on each connection
     retries: int = 2  # by the client, of one request
     leavers: Seconds = 0.2  # share of batches whose client leaves before the deadline
--- a/banklift/judge/lines.py
+++ b/banklift/judge/lines.py
@@ -41,9 +41,8 @@
         self.roles: dict[str, list[Entry]] = defaultdict(list)  # by group, in order
         # by history and key: offsets and commands, without those of parents
         self.own_commands: dict[tuple[str, str], list[tuple[int, list[str]]]] = defaultdict(list)
-        self.positions: dict[str, list[LogPosition]] = defaultdict(
-            list
-        )  # by request id: where it was executed
+        # by request id: where the writes of that try were executed
+        self.positions: dict[str, list[LogPosition]] = defaultdict(list)
         self._ancestries: dict[str, list[tuple[str, float]]] = {}
         self._key_states: dict[tuple[str, str], tuple[list[int], list[tuple[str, float]]]] = {}
         for entry in entries:
--- a/banklift/judge/load.py
+++ b/banklift/judge/load.py
@@ -40,11 +40,11 @@
     sessions: int
     retries: int = 2  # at most, of one request
     roam_share: float = 0.5  # of batches: sent to a random router, not to the session's own
-    sends_tokens: bool = False  # sessions send the consistency token of their last write with each request
+    # sessions send the consistency token of what they have seen with each batch, and ask for one after each request
+    sends_tokens: bool = False
     sends_name: bool = False  # sessions send their name on each of their connections
-    leaving_share: float = (
-        0.2  # of batches: the client leaves after 42 to 100 per cent of the class's deadline
-    )
+    # of batches: the client leaves after 42 to 100 per cent of the class's deadline
+    leaving_share: float = 0.2
     reread_share: float = 0.6  # of acknowledged writes: the session reads the key soon after
     reread_within: float = 0.3
     batch_share: float = 0.1  # of arrivals: several requests sent in one piece
@@ -56,9 +56,8 @@
 
     number: int
     home_router: int
-    offsets: dict[tuple[str, str], int] = field(
-        default_factory=dict
-    )  # by group and replication history: newest
+    # newest offset that the session has seen, by group and replication history
+    offsets: dict[tuple[str, str], int] = field(default_factory=dict)
 
     def record_token(self, token: str) -> None:
         """Keep the newest offset of each history, as tokens of concurrent writes may arrive in any order."""
@@ -110,9 +109,8 @@
         ]
         self.requests_started = 0
         self.connections_opened = 0
-        self.open_requests = (
-            0  # requests without a final result, and reads after writes that are still to be sent
-        )
+        # requests that have not ended (in flight or waiting for a retry), and reads after writes that are not sent yet
+        self.open_requests = 0
         self.is_generating = False  # more arrivals will come
 
     def run(self, rate: float, seconds: float) -> None:
--- a/banklift/judge/reads.py
+++ b/banklift/judge/reads.py
@@ -43,20 +43,17 @@
         verdict: Verdict,
     ) -> None:
         self.head, self.tries, self.histories, self.verdict = head, tries, histories, verdict
-        self.role_reports: dict[int, list[Entry]] = defaultdict(
-            list
-        )  # by router: roles that members reported
-        self.session_offsets: dict[
-            str, dict[str, float]
-        ] = {}  # by id of a session read: least offset by history
+        # by router: roles that members reported to it
+        self.role_reports: dict[int, list[Entry]] = defaultdict(list)
+        # by request id of a read with the need "session": least offset, by replication history
+        self.session_offsets: dict[str, dict[str, float]] = {}
         self.group_of_key: dict[str, str] = {}
         self._collect_sessions(entries)
 
     def _collect_sessions(self, entries: list[Entry]) -> None:
         """Collect the least positions of each session read: what the session had written and read before."""
-        seen: dict[tuple[int, str], dict[str, float]] = defaultdict(
-            dict
-        )  # by session and group: offset by history
+        # by session and group: newest offset seen, by replication history
+        seen: dict[tuple[int, str], dict[str, float]] = defaultdict(dict)
         for client_try in self.tries.values():
             for reply in client_try.replies:
                 for key in client_try.request.keys:
--- a/banklift/judge/rules.py
+++ b/banklift/judge/rules.py
@@ -8,7 +8,7 @@
    no member got anything that it did not turn away, and what it calls safe to repeat is safe to repeat. An acknowledged
    write is in its group's final log, once if it is unsafe, or was lost with the end of a replication history that a
    fork cut off, beyond what replication had delivered.
-3. Drains kept: nothing from a router reaches a member later than the drain grace after the roster told of the drain.
+3. Drains kept: nothing from a router reaches a member later than the drain grace after the roster listed the drain.
 4. No cold member pushed over: what all routers send to a cold member within any window stays under the stated multiple
    of its capacity.
 5. No stale read: reads.py.
--- a/banklift/judge/trace.py
+++ b/banklift/judge/trace.py
@@ -31,7 +31,7 @@
     classes: dict[str, dict[str, float | str]]  # by name: effect, need, aim, deadline, bound, worth, window
     groups: dict[str, str]  # name of the group, by name of the member
     sources: list[str]  # local address from which each router connects to members, by number of the router
-    drain_grace: float
+    drain_grace: float  # from a router's reading of a drain until it has to send nothing more
     told_within: float  # longest time until a router has read a new roster
     cold_share: float  # share of its capacity that a member has at its start
     cold_time: float  # until a member that started has its full capacity
@@ -73,7 +73,7 @@
     conn: int = 0  # number of the connection, at the end that records the entry
     patience: float = 0.0  # seconds: how long the client waits, or a router is stalled
     session: int = -1  # number of the client's session; -1: none
-    keys: list[str] = []
+    keys: list[str] = []  # keys of a request, without its id; the key of an `end`
     value: str = ""  # raw answer or reply; form of a request; role that a member reports; state in the roster
     values: list[str] = []  # what `keys` hold, in a read's answer or an `end`; "" for a missing key
     # of an answer: served, refused, repeat, failed, error or surplus; of a reply: answered or turned away; of a cut:
@@ -96,9 +96,11 @@
         self._file.write(self._encoder.encode(head) + b"\n")
 
     def __call__(self, entry: Entry) -> None:
+        """Append an entry. Errors: `OSError`."""
         self._file.write(self._encoder.encode(entry) + b"\n")
 
     def close(self) -> None:
+        """Write what is buffered and close the file. Errors: `OSError`."""
         self._file.close()
 
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -74,7 +74,7 @@
 DRAIN = [FaultOrder(at=0.4, do="drain", member="west-1")]
 COLD_STARTS = for_members("kill", 0.3, 0) + for_members("restart", 0.6, 0)
 CONNECTIONS_CUT = for_members("cut", 0.3, 0.5, "west-0 east-0")
-# every replica stays that many seconds behind its primary
+# delays in seconds by which every replica stays behind its primary
 DELAYED = for_members("delay", 0.3, 0.9, "west-0 east-0")
 LONG_DELAYED = for_members("delay", 0.3, 1.5, "west-0 east-0")
 SHORT_DELAYED = for_members("delay", 0.3, 0.02, "west-0 east-0")
