--- a/banklift/__main__.py
+++ b/banklift/__main__.py
@@ -1,3 +1,5 @@
+"""Entry point of `python -m banklift`."""
+
 from banklift.cli.main import main
 
 main()
--- a/banklift/cli/__init__.py
+++ b/banklift/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: arguments in, exit codes out."""
+"""The command line: parses arguments, prints results and sets exit codes."""
--- a/banklift/cli/files.py
+++ b/banklift/cli/files.py
@@ -1,4 +1,4 @@
-"""Reading the operator's files for a command: one that is refused ends the program with its reasons."""
+"""Loading operators' files for a command: a file that is refused ends the program with the reasons."""
 
 from __future__ import annotations
 
@@ -10,12 +10,16 @@
 
 from banklift.config.load import ConfigError
 
-FAILED, BAD_FILE = 1, 2  # exit codes: it could not run; the file or this program is refused
+FAILED = 1  # exit code: the command could not run
+BAD_FILE = 2  # exit code: the file, or this member of the fleet, was refused
 File = TypeVar("File")
 
 
 def read(path: Path, load: Callable[[Path], File]) -> File:
-    """What `load` makes of the file. Errors: `typer.Exit` with `BAD_FILE`, after the reasons were told."""
+    """Return `load(path)`.
+
+    Errors: `typer.Exit` with `BAD_FILE` if `load` raises `ConfigError`, whose text goes to standard error first.
+    """
     try:
         return load(path)
     except ConfigError as error:
--- a/banklift/cli/fleet_client.py
+++ b/banklift/cli/fleet_client.py
@@ -1,4 +1,4 @@
-"""What `banklift policy` and `banklift fleet` share: their options, exit codes and questions to the voters."""
+"""Options, exit codes and requests to voters that `banklift policy` and `banklift fleet` share."""
 
 from __future__ import annotations
 
@@ -16,16 +16,24 @@
 from banklift.net.operator import Unreachable, ask_voters
 from banklift.proxy.fleet_plan import Fleet
 
-ABORTED, UNKNOWN, NOT_PROPOSED = 1, 3, 4  # exit codes beside `BAD_FILE`
-SHOW_TIME = 5.0  # seconds for a question that changes nothing
+# Exit codes, in addition to `BAD_FILE`.
+ABORTED = 1  # the change was aborted, or a member refused it
+UNKNOWN = 3  # no voter answered in time, so the outcome is not known
+NOT_PROPOSED = 4  # no voter proposed the change, for example because another one is under way
+
+SHOW_TIMEOUT_S = 5.0  # time limit of a read-only request
 ConfigFile = Annotated[
-    Path, typer.Option("--config", help="Any router's file of this fleet.", show_default=False)
+    Path,
+    typer.Option("--config", help="The file of any router or aggregator of this fleet.", show_default=False),
 ]
-AsJson = Annotated[bool, typer.Option("--json", help="JSON in place of a table.")]
+AsJson = Annotated[bool, typer.Option("--json", help="Print JSON instead of a table.")]
+
 
+def load_fleet(path: Path) -> Fleet:
+    """Load the `fleet` table of a router's or an aggregator's file.
 
-def fleet_of(path: Path) -> Fleet:
-    """The `fleet` table of a router's file, or of an aggregator's. Errors: `typer.Exit`."""
+    Errors: `typer.Exit` with `BAD_FILE` if the file is refused or has no such table.
+    """
     if read(path, has_aggregator_only):
         return read(path, load_aggregator).fleet
     config = read(path, load)
@@ -35,10 +43,13 @@
     return config.fleet
 
 
-def ask_for_state(fleet: Fleet) -> Shown:
-    """What the first voter that answers shows. Errors: `typer.Exit`."""
+def request_state(fleet: Fleet) -> Shown:
+    """Return the state of the fleet as the first voter that answers knows it.
+
+    Errors: `typer.Exit` with `UNKNOWN` if no voter answers within `SHOW_TIMEOUT_S`.
+    """
     try:
-        answer = anyio.run(ask_voters, fleet.voters, fleet.name, Show(), SHOW_TIME)
+        answer = anyio.run(ask_voters, fleet.voters, fleet.name, Show(), SHOW_TIMEOUT_S)
     except Unreachable as error:
         typer.echo(f"no voter answers: {error}", err=True)
         raise typer.Exit(UNKNOWN) from None
@@ -47,4 +58,5 @@
 
 
 def print_json(value: Any) -> None:
+    """Print a value that msgspec can convert, structs included, as indented JSON on standard output."""
     typer.echo(json.dumps(msgspec.to_builtins(value, str_keys=True), indent=1))
--- a/banklift/cli/fleet_tables.py
+++ b/banklift/cli/fleet_tables.py
@@ -1,4 +1,4 @@
-"""How `banklift fleet` shows a fleet: tables for people, one JSON object for programs."""
+"""Output of `banklift fleet`: tables for people, or one JSON object for programs."""
 
 from __future__ import annotations
 
@@ -13,23 +13,26 @@
 from banklift.fleet.messages import Holder, Shown
 from banklift.fleet.state import digest
 
-MAX_ROWS = 40  # direct routers that are listed unless all are asked for
-NOTHING = "-"
+MAX_DIRECT_ROUTER_ROWS = 40  # direct routers listed without --routers
+EMPTY_CELL = "-"
 
 
-def as_json(shown: Shown, seen: FleetView) -> dict[str, Any]:
-    """`holders`: who leases from the voters, as the one that was asked knows them. `routers_of`: what the aggregators
-    that were asked and have answered name."""
+def as_json(shown: Shown, fleet_view: FleetView) -> dict[str, Any]:
+    """Build the object that `--json` prints. Durations are in seconds.
+
+    `holders` lists the lease holders that the voter which answered knows; `routers_of` maps each aggregator that
+    answered to the routers it grants leases to.
+    """
     return {
         **msgspec.structs.asdict(shown),
-        "holders": [_holder_json(one) for one in shown.holders],
-        "trouble": [msgspec.structs.asdict(one) for one in seen.trouble],
-        "routers": seen.routers,
-        "direct": [one.name for one in seen.direct],
-        "aggregators": [_aggregator_json(row) for row in seen.aggregators],
+        "holders": [_holder_json(holder) for holder in shown.holders],
+        "trouble": [msgspec.structs.asdict(trouble) for trouble in fleet_view.trouble],
+        "routers": fleet_view.routers,
+        "direct": [router.name for router in fleet_view.direct],
+        "aggregators": [_aggregator_json(row) for row in fleet_view.aggregators],
         "routers_of": {
-            row.name: [_holder_json(one) for one in row.routers]
-            for row in seen.aggregators
+            row.name: [_holder_json(router) for router in row.routers]
+            for row in fleet_view.aggregators
             if row.routers is not None
         },
     }
@@ -54,19 +57,19 @@
     }
 
 
-def show(console: Console, name: str, shown: Shown, seen: FleetView, all_routers: bool) -> None:
-    """Print it all: the change, voters, aggregators, routers, trouble."""
+def show(console: Console, name: str, shown: Shown, fleet_view: FleetView, all_routers: bool) -> None:
+    """Print the change under way, then tables of voters, aggregators and routers, then the problems found."""
     console.print(_headline(name, shown), highlight=False)
     console.print(_voters_table(shown))
-    if seen.aggregators:
-        console.print(_aggregators_table(seen.aggregators))
-    for row in seen.aggregators:
+    if fleet_view.aggregators:
+        console.print(_aggregators_table(fleet_view.aggregators))
+    for row in fleet_view.aggregators:
         if row.routers is not None:
             console.print(_routers_table(f"routers of {row.name}", row.routers))
-    if seen.direct:
-        console.print(_direct_table(seen, all_routers))
-    console.print(f"{seen.routers} routers hold a lease", highlight=False)
-    for trouble in seen.trouble:
+    if fleet_view.direct:
+        console.print(_direct_table(fleet_view, all_routers))
+    console.print(f"{fleet_view.routers} routers hold a lease", highlight=False)
+    for trouble in fleet_view.trouble:
         console.print(f"in trouble: {trouble.who}: {trouble.what}", highlight=False)
 
 
@@ -91,42 +94,48 @@
         summary, holder = row.summary, row.holder
         table.add_row(
             row.name,
-            row.zone or NOTHING,
-            _epoch(holder),
+            row.zone or EMPTY_CELL,
+            _epoch_text(holder),
             str(summary.routers),
             str(summary.waiting),
             str(summary.refused),
-            _heard(holder),
-            _left(holder),
+            _last_heard_text(holder),
+            _remaining_lease_text(holder),
         )
     return table
 
 
-def _direct_table(seen: FleetView, all_routers: bool) -> Table:
-    listed = seen.direct if all_routers else seen.direct[:MAX_ROWS]
-    table = _routers_table("routers that lease from the voters" if seen.aggregators else "", listed)
-    more = len(seen.direct) - len(listed)
-    if more:
-        table.add_row(f"and {more} more: --routers", "", "", "", "")
+def _direct_table(fleet_view: FleetView, all_routers: bool) -> Table:
+    listed = fleet_view.direct if all_routers else fleet_view.direct[:MAX_DIRECT_ROUTER_ROWS]
+    table = _routers_table("routers that lease from the voters" if fleet_view.aggregators else "", listed)
+    omitted = len(fleet_view.direct) - len(listed)
+    if omitted:
+        table.add_row(f"and {omitted} more: --routers", "", "", "", "")
     return table
 
 
 def _routers_table(title: str, holders: Iterable[Holder]) -> Table:
     table = Table("router", "incarnation", "epoch", "heard", "lease ends in", title=title or None)
-    for one in holders:
-        table.add_row(one.name, str(one.incarnation), _epoch(one), _heard(one), _left(one))
+    for holder in holders:
+        table.add_row(
+            holder.name,
+            str(holder.incarnation),
+            _epoch_text(holder),
+            _last_heard_text(holder),
+            _remaining_lease_text(holder),
+        )
     return table
 
 
-def _epoch(holder: Holder | None) -> str:
-    return NOTHING if holder is None else str(holder.epoch or NOTHING)
+def _epoch_text(holder: Holder | None) -> str:
+    return EMPTY_CELL if holder is None else str(holder.epoch or EMPTY_CELL)
 
 
-def _heard(holder: Holder | None) -> str:
+def _last_heard_text(holder: Holder | None) -> str:
     return "never" if holder is None else f"{holder.heard:.1f} s ago"
 
 
-def _left(holder: Holder | None) -> str:
+def _remaining_lease_text(holder: Holder | None) -> str:
     if holder is None:
         return "none"
     return f"{holder.left:.1f} s" if holder.left > 0 else "ended"
--- a/banklift/cli/fleet_view.py
+++ b/banklift/cli/fleet_view.py
@@ -1,8 +1,8 @@
-"""What an operator is to see of a fleet, computed from what its members answered. Pure.
+"""The state of a fleet as shown to an operator, computed from the answers of its members without I/O.
 
-Three tiers: voters, aggregators that lease from them, and routers that lease from aggregators or, as "direct" ones,
-from voters. A voter knows its own lease holders; each aggregator adds counts of its routers to its requests. An
-aggregator that is asked itself names its routers.
+A fleet has up to three tiers: voters, aggregators that lease from the voters, and routers that lease either from
+aggregators or, as "direct" routers, from the voters. A voter knows its own lease holders. An aggregator sends counts of
+its routers with its lease requests, and lists the routers by name only when it is asked itself.
 """
 
 from __future__ import annotations
@@ -14,14 +14,19 @@
 from banklift.net.operator import NoAnswer
 from banklift.proxy.fleet_plan import Fleet
 
-QUIET_PART = 1 / 2  # of a lease: not heard of for longer, a holder has missed a renewal
+# A holder that has been silent for longer than this part of a lease has missed a renewal.
+MAX_SILENCE_LEASE_FRACTION = 1 / 2
 NO_ROUTERS = Summary(0, 0, 0)
 
 
 @dataclass(frozen=True, slots=True)
 class AggregatorRow:
-    """One aggregator. `holder`: its lease, as the voter that was asked knows it; None: it has none. `routers`: those
-    that it names itself; None: it was not asked, or did not answer."""
+    """One aggregator of the fleet.
+
+    `holder`: its lease as known by the voter that was asked, or None if that voter knows of no lease.
+    `summary`: counts of its routers, all zero without a live lease.
+    `routers`: the routers that it lists itself, or None if it was not asked or did not answer.
+    """
 
     name: str
     zone: str
@@ -33,7 +38,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """`direct`: routers that lease from the voters. `routers`: how many hold a lease, of whomever."""
+    """The fleet as shown to an operator.
+
+    `direct`: holders that lease from the voters and are not aggregators.
+    `routers`: the number of routers that hold a live lease from an aggregator or from the voters.
+    """
 
     aggregators: tuple[AggregatorRow, ...]
     direct: tuple[Holder, ...]
@@ -42,7 +51,10 @@
 
 
 def view(fleet: Fleet, shown: Shown, answers: dict[str, Shown | NoAnswer] | None = None) -> FleetView:
-    """`shown`: by one voter. `answers`: of the aggregators, where they were asked for their routers."""
+    """Compute the view from the state shown by one voter.
+
+    `answers`: the answers of the aggregators by name, or None if they were not asked for their routers.
+    """
     answers = {} if answers is None else answers
     leases = [holder for holder in shown.holders if _is_aggregator(fleet, holder)]
     direct = tuple(holder for holder in shown.holders if not _is_aggregator(fleet, holder))
@@ -52,25 +64,28 @@
     trouble = [*shown.trouble]
     for row in rows:
         trouble += _aggregator_trouble(fleet, row, change)
-        trouble += _told_trouble(row.name, answers.get(row.name))
-    trouble += _earlier_processes(leases)
+        trouble += _reported_trouble(row.name, answers.get(row.name))
+    trouble += _leases_of_earlier_processes(leases)
     for holder in direct:
         trouble += _router_trouble(fleet, holder, change)
-    live = sum(row.summary.routers for row in rows) + len({one.name for one in direct if one.left > 0})
-    return FleetView(rows, direct, live, tuple(trouble))
+    live_routers = sum(row.summary.routers for row in rows)
+    live_routers += len({holder.name for holder in direct if holder.left > 0})
+    return FleetView(rows, direct, live_routers, tuple(trouble))
 
 
 def _is_aggregator(fleet: Fleet, holder: Holder) -> bool:
-    """A voter and an aggregator may have one name; only an aggregator sends counts."""
+    """Whether a holder is an aggregator. A voter and an aggregator may share a name; only the latter sends counts."""
     known = holder.name in fleet.aggregators and holder.name not in fleet.voters
     return known or holder.summary is not None
 
 
 def _row(fleet: Fleet, name: str, leases: list[Holder], answer: Shown | NoAnswer | None) -> AggregatorRow:
     entry = fleet.aggregators.get(name)
-    holder = max((one for one in leases if one.name == name), key=lambda one: one.incarnation, default=None)
-    live = holder is not None and holder.left > 0
-    summary = holder.summary if live and holder is not None else None
+    holder = max(
+        (lease for lease in leases if lease.name == name), key=lambda lease: lease.incarnation, default=None
+    )
+    has_lease = holder is not None and holder.left > 0
+    summary = holder.summary if has_lease and holder is not None else None
     return AggregatorRow(
         name,
         "" if entry is None else entry.zone,
@@ -90,8 +105,8 @@
         found.append("has no lease: no request of it has come")
     elif holder.left <= 0:
         found.append(f"has no lease; last heard of {holder.heard:.1f} s ago")
-    elif holder.heard > QUIET_PART * fleet.lease:
-        found.append(_quiet(holder))
+    elif holder.heard > MAX_SILENCE_LEASE_FRACTION * fleet.lease:
+        found.append(_silence_text(holder))
     if change is not None and row.summary.refused:
         found.append(f"{row.summary.refused} of its routers refuse change {change.id}")
     if change is not None and row.summary.waiting:
@@ -100,21 +115,24 @@
     return [Trouble(row.name, what) for what in found]
 
 
-def _told_trouble(name: str, answer: Shown | NoAnswer | None) -> list[Trouble]:
-    """What an aggregator that was asked says itself, or that it can't be asked."""
+def _reported_trouble(name: str, answer: Shown | NoAnswer | None) -> list[Trouble]:
+    """The problems that an aggregator reports itself, or the reason why it gave no answer."""
     if isinstance(answer, NoAnswer):
         return [Trouble(name, f"can't be asked for its routers: {answer.reason}")]
-    told = [] if answer is None else answer.trouble
-    return [Trouble(name, one.what if one.who == name else f"{one.who}: {one.what}") for one in told]
+    reported = [] if answer is None else answer.trouble
+    return [
+        Trouble(name, trouble.what if trouble.who == name else f"{trouble.who}: {trouble.what}")
+        for trouble in reported
+    ]
 
 
-def _earlier_processes(leases: list[Holder]) -> list[Trouble]:
-    """Aggregators that were restarted, and whose earlier process still has a lease."""
-    newest = {one.name: one.incarnation for one in sorted(leases, key=lambda one: one.incarnation)}
+def _leases_of_earlier_processes(leases: list[Holder]) -> list[Trouble]:
+    """One problem for each lease that is still held by the earlier process of a restarted aggregator."""
+    newest = {lease.name: lease.incarnation for lease in sorted(leases, key=lambda lease: lease.incarnation)}
     return [
-        Trouble(one.name, f"was restarted; the lease of its earlier process ends in {one.left:.1f} s")
-        for one in leases
-        if one.incarnation < newest[one.name] and one.left > 0
+        Trouble(lease.name, f"was restarted; the lease of its earlier process ends in {lease.left:.1f} s")
+        for lease in leases
+        if lease.incarnation < newest[lease.name] and lease.left > 0
     ]
 
 
@@ -122,8 +140,8 @@
     if holder.left <= 0:
         return []
     found = []
-    if holder.heard > QUIET_PART * fleet.lease:
-        found.append(_quiet(holder))
+    if holder.heard > MAX_SILENCE_LEASE_FRACTION * fleet.lease:
+        found.append(_silence_text(holder))
     if change is not None and holder.verdict:
         found.append(f"refuses change {change.id}: {holder.verdict[0]}")
     if change is not None and holder.verdict is None:
@@ -131,5 +149,5 @@
     return [Trouble(holder.name, what) for what in found]
 
 
-def _quiet(holder: Holder) -> str:
+def _silence_text(holder: Holder) -> str:
     return f"has not been heard of for {holder.heard:.1f} s; its lease ends in {holder.left:.1f} s"
--- a/banklift/cli/main.py
+++ b/banklift/cli/main.py
@@ -1,4 +1,4 @@
-"""`banklift`: the sub-commands."""
+"""The `banklift` program: its sub-commands, and the set-up of logs and of the event loop."""
 
 from __future__ import annotations
 
@@ -54,13 +54,13 @@
 
 
 def set_up_logs() -> None:
-    """Structured lines on standard error: JSON unless that is a terminal."""
-    terminal = sys.stderr.isatty()
+    """Send structured logs to standard error: as JSON, or for reading if that is a terminal."""
+    is_terminal = sys.stderr.isatty()
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
-            structlog.dev.ConsoleRenderer() if terminal else structlog.processors.JSONRenderer(),
+            structlog.dev.ConsoleRenderer() if is_terminal else structlog.processors.JSONRenderer(),
         ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
@@ -68,11 +68,16 @@
 
 
 def run(main: object, *args: object) -> None:
+    """Run the coroutine function `main` with `args` to its end, in an anyio event loop on uvloop."""
     anyio.run(main, *args, backend_options={"use_uvloop": True})  # type: ignore[arg-type]
 
 
 def run_member(command: str, main: object, *args: object) -> None:
-    """Run a router or an aggregator; what ends it before its time is told, with its exit code."""
+    """Run a router or an aggregator until it stops. `command` is the name that error messages begin with.
+
+    Errors: `typer.Exit`, after the reason went to standard error: with `BAD_FILE` if another member of the fleet
+    refused this one, with `FAILED` on `OSError` or `ConfigError`.
+    """
     set_up_logs()
     try:
         run(main, *args)
@@ -96,7 +101,7 @@
         Path,
         typer.Option(
             "--config",
-            help="A file with `name` and `fleet`, or any router's with this `name`.",
+            help="A file with `name` and `fleet`, or a router's file with this `name`.",
             show_default=False,
         ),
     ],
@@ -107,7 +112,7 @@
 
 @app.command()
 def check(file: Path) -> None:
-    """Validate a configuration and explain what is wrong with it."""
+    """Validate a configuration file and explain what is wrong with it."""
     if read(file, has_aggregator_only):
         _check_aggregator(file)
         return
@@ -130,9 +135,11 @@
 def stand(
     config: ConfigFile = EXAMPLE,
     routers: Annotated[int, typer.Option(min=1, help="How many routers to start.")] = 2,
-    port: Annotated[int, typer.Option(help="Port of the first router, the others follow; 0: any.")] = 6380,
+    port: Annotated[
+        int, typer.Option(help="Port of the first router; the others use the next ones. 0: any.")
+    ] = 6380,
 ) -> None:
-    """Start stand-in members and routers and stay up; one line of JSON tells where all listen."""
+    """Start emulated members and routers until SIGTERM or SIGINT. One line of JSON lists their addresses."""
     set_up_logs()
     try:
         run(_stand, read(config, load), routers, port)
@@ -143,12 +150,14 @@
 
 @app.command()
 def play(
-    day: Annotated[str, typer.Argument(help="A day of ours by name, or a file (Jsonnet).")],
+    day: Annotated[
+        str, typer.Argument(help="A scripted workload: the name of a bundled one, or a Jsonnet file.")
+    ],
     routers: Annotated[int, typer.Option(min=1, max=200, help="How many routers.")] = 2,
-    seed: Annotated[int, typer.Option(help="Of clients and stand-ins.")] = 1,
+    seed: Annotated[int, typer.Option(help="Random seed of the clients and the emulated members.")] = 1,
     out: Annotated[Path, typer.Option(help="Folder for the trace and the verdict.")] = Path("found"),
 ) -> None:
-    """Play a scripted day against routers in processes of their own, and judge it. Exit 1 if a rule breaks."""
+    """Run a scripted workload against router processes and judge it. Exit code 1 if a rule is broken."""
     set_up_logs()
     try:
         script, config = load_day(day)
@@ -162,8 +171,8 @@
         f"[bold]{script.title}[/]: {script.seconds:g} s, {script.rate:g} requests a second, seed {seed}"
     )
 
-    def progress(at: float, text: str) -> None:
-        console.print(f"{at:6.2f} s  {text}", highlight=False)
+    def progress(elapsed_s: float, text: str) -> None:
+        console.print(f"{elapsed_s:6.2f} s  {text}", highlight=False)
 
     try:
         run(play_day, script, config, routers, seed, trace, progress)
@@ -175,32 +184,34 @@
 
 @app.command()
 def judge(trace: Path) -> None:
-    """Judge a recorded trace again. Exit 1 if a rule breaks."""
+    """Judge a recorded trace again. Exit code 1 if a rule is broken."""
     raise typer.Exit(_judge(trace))
 
 
 def _judge(trace: Path) -> int:
+    """Judge a trace and print the verdict. Returns the exit code: 1 for a broken rule, 2 for a bad trace."""
     try:
         head, entries = read_trace(trace)
     except TraceError as error:
         typer.echo(str(error), err=True)
-        return 2
+        return BAD_FILE
     verdict = judge_trace(head, entries)
     show(verdict, trace)
     return 1 if verdict.breaks else 0
 
 
 async def _stand(config: Config, routers: int, port: int) -> None:
+    """Run emulated members and `routers` router processes until a stop signal. `port` 0 lets the system choose."""
     host = split_address(config.listen)[0]
     async with anyio.create_task_group() as tasks:
-        place = Stand(config, SocketEnv(tasks))
-        processes = RouterProcesses(place, tasks, time.monotonic() - time.time())
+        members = Stand(config, SocketEnv(tasks))
+        processes = RouterProcesses(members, tasks, time.monotonic() - time.time())
         try:
             for number in range(routers):
                 address = f"{host}:{port + number if port else 0}"
                 processes.addresses.append(await processes.start(number, address))
             with stop_signals() as signals:
-                typer.echo(json.dumps({"routers": processes.addresses, "nodes": place.describe()}))
+                typer.echo(json.dumps({"routers": processes.addresses, "nodes": members.describe()}))
                 await signals.wait()
         finally:
             with anyio.CancelScope(shield=True):
@@ -209,4 +220,5 @@
 
 
 def main() -> None:
+    """Run the command that the arguments of the process name."""
     app()
--- a/banklift/cli/policy.py
+++ b/banklift/cli/policy.py
@@ -1,7 +1,8 @@
-"""`banklift policy`: arguments in, tables or JSON out, exit codes.
+"""`banklift policy`: shows, checks and changes the policy of a fleet.
 
-Exit codes: 0 done; 1 aborted, or refused by a check; 2 a bad file or argument; 3 not known, as no voter answered in
-time; 4 not made, as another change came first.
+Exit codes: 0 done; 1 the change was aborted, or a router refused it in a check; 2 a file or an argument was refused;
+3 the outcome is not known, as no voter answered in time; 4 the change was not proposed, for example because another
+one came first.
 """
 
 from __future__ import annotations
@@ -23,9 +24,9 @@
     UNKNOWN,
     AsJson,
     ConfigFile,
-    ask_for_state,
-    fleet_of,
+    load_fleet,
     print_json,
+    request_state,
 )
 from banklift.config import policy
 from banklift.fleet.messages import Ended, NotProposed, Progress, Set
@@ -33,21 +34,24 @@
 from banklift.net.operator import Answer, Unreachable, ask_voters
 from banklift.proxy.fleet_plan import Fleet
 
-PATIENCE_LEASES = 2  # leases that routers have to check a change, unless it is told
-MARGIN = 5.0  # seconds that a change may take beyond what routers have to check it
-ID_BYTES = 6  # random ones in the id of a change
-app = typer.Typer(no_args_is_help=True, help="The policy of a fleet: what it is, and how it changes.")
+CHECK_TIMEOUT_LEASES = 2  # default time that routers have to check a change, in lease durations
+PROPOSAL_MARGIN_S = 5.0  # added to the check timeout and one lease when waiting for the outcome of a change
+CHANGE_ID_BYTES = 6  # random bytes in a change id
+app = typer.Typer(no_args_is_help=True, help="Show, check and change the policy of a fleet.")
 Wait = Annotated[
-    float, typer.Option("--wait", min=0.1, help="Seconds to check it in; twice a lease if not given.")
+    float,
+    typer.Option(
+        "--wait", min=0.1, help="Seconds that routers have to check the policy; twice the lease if not given."
+    ),
 ]
 
 
 class ProgressPrinter:
-    """Prints how a change goes on, one line for each new stage or cause to wait."""
+    """Prints the progress of a change: one line for each new stage or member waited for."""
 
     def __init__(self, console: Console) -> None:
         self.console = console
-        self.printed: tuple[str, str] | None = None  # stage, and for whom it waited
+        self.printed: tuple[str, str] | None = None  # stage, and the first member waited for
 
     def __call__(self, progress: Progress) -> None:
         first = progress.waiting[0] if progress.waiting else ""
@@ -62,21 +66,24 @@
 
 
 def new_change_id(fleet: Fleet) -> str:
-    """Of a change to the state as it stands now. Errors: `typer.Exit`."""
-    state = ask_for_state(fleet).state
+    """Make an id for a change: the current version of the state, and random bytes in hexadecimal.
+
+    Errors: `typer.Exit` with `UNKNOWN` if no voter answers, or the fleet has no policy yet.
+    """
+    state = request_state(fleet).state
     if state is None:
         typer.echo("this fleet has no policy yet: a majority of voters has to be up", err=True)
         raise typer.Exit(UNKNOWN)
-    return f"{state.version}-{secrets.token_hex(ID_BYTES)}"
+    return f"{state.version}-{secrets.token_hex(CHANGE_ID_BYTES)}"
 
 
 def make_change(fleet: Fleet, change: Set, as_json: bool) -> int:
-    """Have it checked and, unless it is a dry run, put in force; the exit code."""
+    """Have routers check a change and, unless it is a dry run, put it in force. Returns the exit code."""
     console = Console(stderr=True)
     console.print(f"change {change.change}, policy {digest(change.policy)}", highlight=False)
-    seconds = change.patience + fleet.lease + MARGIN
+    timeout_s = change.patience + fleet.lease + PROPOSAL_MARGIN_S
     try:
-        answer = anyio.run(ask_voters, fleet.voters, fleet.name, change, seconds, ProgressPrinter(console))
+        answer = anyio.run(ask_voters, fleet.voters, fleet.name, change, timeout_s, ProgressPrinter(console))
     except Unreachable as error:
         if as_json:
             print_json({"id": change.change, "result": "unknown", "reasons": [str(error)]})
@@ -85,21 +92,21 @@
     return print_answer(change.change, answer, as_json)
 
 
-def print_answer(change: str, answer: Answer, as_json: bool) -> int:
-    """How a change ended; the exit code."""
+def print_answer(change_id: str, answer: Answer, as_json: bool) -> int:
+    """Print how a change ended. Returns the exit code."""
     match answer:
         case Ended(outcome):
             return print_outcome(outcome, as_json)
         case NotProposed(_, reason):
             if as_json:
-                print_json({"id": change, "result": "not made", "reasons": [reason]})
+                print_json({"id": change_id, "result": "not made", "reasons": [reason]})
             typer.echo(f"not made: {reason}", err=True)
             return NOT_PROPOSED
     raise AssertionError(answer)
 
 
 def print_outcome(outcome: Outcome, as_json: bool) -> int:
-    """The exit code."""
+    """Print the outcome of a change. Returns the exit code."""
     if as_json:
         print_json(outcome)
     else:
@@ -109,9 +116,9 @@
     return 0 if outcome.result in (Result.IN_FORCE, Result.FINE) else ABORTED
 
 
-def patience(fleet: Fleet, wait: float | None) -> float:
-    """Seconds that routers have to check a change."""
-    return PATIENCE_LEASES * fleet.lease if wait is None else wait
+def check_timeout(fleet: Fleet, wait: float | None) -> float:
+    """Seconds that routers have to check a change: `wait`, or the default for this fleet's lease."""
+    return CHECK_TIMEOUT_LEASES * fleet.lease if wait is None else wait
 
 
 @app.command("set")
@@ -119,27 +126,31 @@
     file: Path,
     config: ConfigFile,
     wait: Wait | None = None,
-    id_: Annotated[str | None, typer.Option("--id", help="Of a change that was asked for before.")] = None,
+    id_: Annotated[
+        str | None, typer.Option("--id", help="Id of an earlier change, to ask for the same change again.")
+    ] = None,
     as_json: AsJson = False,
 ) -> None:
     """Put a policy in force on every router, or on none."""
-    fleet, text = fleet_of(config), read(file, policy.load)
-    change = Set(id_ or new_change_id(fleet), text, patience(fleet, wait))
+    fleet = load_fleet(config)
+    text = read(file, policy.load)
+    change = Set(id_ or new_change_id(fleet), text, check_timeout(fleet, wait))
     raise typer.Exit(make_change(fleet, change, as_json))
 
 
 @app.command()
 def check(file: Path, config: ConfigFile, wait: Wait | None = None, as_json: AsJson = False) -> None:
-    """Have every router check a policy; nothing is changed."""
-    fleet, text = fleet_of(config), read(file, policy.load)
-    change = Set(new_change_id(fleet), text, patience(fleet, wait), dry=True)
+    """Have every router check a policy, without changing anything."""
+    fleet = load_fleet(config)
+    text = read(file, policy.load)
+    change = Set(new_change_id(fleet), text, check_timeout(fleet, wait), dry=True)
     raise typer.Exit(make_change(fleet, change, as_json))
 
 
 @app.command()
 def show(config: ConfigFile) -> None:
-    """The policy in force, as JSON."""
-    state = ask_for_state(fleet_of(config)).state
+    """Print the policy in force as JSON."""
+    state = request_state(load_fleet(config)).state
     if state is None:
         typer.echo("this fleet has no policy yet", err=True)
         raise typer.Exit(UNKNOWN)
@@ -154,13 +165,15 @@
 
 @app.command()
 def history(config: ConfigFile, as_json: AsJson = False) -> None:
-    """How the last changes ended, the newest last."""
-    state = ask_for_state(fleet_of(config)).state
+    """List the outcomes of the last changes, newest last."""
+    state = request_state(load_fleet(config)).state
     outcomes = state.history if state is not None else ()
     if as_json:
         print_json(outcomes)
         return
     table = Table("id", "result", "epoch", "policy", "reasons")
-    for one in outcomes:
-        table.add_row(one.id, one.result, str(one.epoch), one.digest, "; ".join(one.reasons))
+    for outcome in outcomes:
+        table.add_row(
+            outcome.id, outcome.result, str(outcome.epoch), outcome.digest, "; ".join(outcome.reasons)
+        )
     Console().print(table)
--- a/tests/test_cli_fleet.py
+++ b/tests/test_cli_fleet.py
@@ -12,7 +12,7 @@
 from typer.testing import CliRunner
 
 from banklift.cli import fleet_client
-from banklift.cli.fleet_tables import MAX_ROWS
+from banklift.cli.fleet_tables import MAX_DIRECT_ROUTER_ROWS
 from banklift.cli.fleet_view import FleetView, view
 from banklift.cli.main import app
 from banklift.config.load import EXAMPLE, evaluate
@@ -310,7 +310,7 @@
         short = run("fleet", "--config", str(path))
         whole = run("fleet", "--config", str(path), "--routers")
     assert "r39 " in short.stdout and "r40 " not in short.stdout
-    assert f"and {2000 - MAX_ROWS} more: --routers" in short.stdout
+    assert f"and {2000 - MAX_DIRECT_ROUTER_ROWS} more: --routers" in short.stdout
     assert "2000 routers hold a lease" in short.stdout
     assert "r1999 " in whole.stdout and "more: --routers" not in whole.stdout
 
@@ -328,7 +328,7 @@
 
 
 def test_no_voter_answers(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(fleet_client, "SHOW_TIME", 0.5)
+    monkeypatch.setattr(fleet_client, "SHOW_TIMEOUT_S", 0.5)
     path = write(tmp_path, {"v0": free_address()})
     for command in (["fleet"], ["policy", "show"], ["policy", "history"]):
         result = run(*command, "--config", str(path))
@@ -350,7 +350,7 @@
 
 
 def test_a_voter_that_turns_the_tool_away_says_why(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(fleet_client, "SHOW_TIME", 0.5)
+    monkeypatch.setattr(fleet_client, "SHOW_TIMEOUT_S", 0.5)
     member = FakeMember("v0", says(), greeting=Bye("version 2 of the fleet's messages, here it is 1", True))
     try:
         result = run("fleet", "--config", str(write(tmp_path, {"v0": member.address})))
