--- a/benchmarks/machine.py
+++ b/benchmarks/machine.py
@@ -1,4 +1,6 @@
-"""What a request costs the machine alone, without sockets: processor time, the least of some rounds.
+"""Processor time of one request in the router's state machine alone, without sockets.
+
+Prints the minimum and the median over the rounds. The minimum is the figure least disturbed by other processes.
 
 .venv/bin/python benchmarks/machine.py [--rounds 12]
 """
@@ -19,31 +21,39 @@
 from banklift.proxy.plan import Config
 from banklift.resp.wire import INFO
 
-CLIENTS, REQUESTS = 64, 3000
+CLIENTS = 64
+REQUESTS = 3000  # in each round
+REQUEST_INTERVAL_S = 0.0002  # virtual time between two requests
+REPLY_DELAY_S = 0.0001  # virtual time that the member takes to answer
 
 
 def drive(machine: Machine, now: float, requests: int) -> float:
-    """Requests one after the other, answered at once; returns the virtual time afterwards."""
+    """Send `requests` requests one after the other, each answered before the next.
+
+    `now` is the virtual time in seconds. Returns the virtual time afterwards.
+    """
     for number in range(requests):
-        now += 0.0002
-        todo = deque(machine.handle(now, ev.ClientData(number % CLIENTS + 1, relay.GET)))
-        while todo:
-            action = todo.popleft()
+        now += REQUEST_INTERVAL_S
+        actions = deque(machine.handle(now, ev.ClientData(number % CLIENTS + 1, relay.GET)))
+        while actions:
+            action = actions.popleft()
             if isinstance(action, ev.OpenLink):
-                todo.extend(machine.handle(now, ev.LinkUp(action.link)))
+                actions.extend(machine.handle(now, ev.LinkUp(action.link)))
             elif isinstance(action, ev.ToLink):
-                now += 0.0001
-                told = b"$%d\r\n%b\r\n" % (len(relay.INFO), relay.INFO) if INFO in action.data else b""
+                now += REPLY_DELAY_S
+                status = b"$%d\r\n%b\r\n" % (len(relay.INFO), relay.INFO) if INFO in action.data else b""
                 value = relay.VALUE if relay.GET in action.data else b""
-                todo.extend(machine.handle(now, ev.LinkData(action.link, told + value)))
+                actions.extend(machine.handle(now, ev.LinkData(action.link, status + value)))
         while machine.wake <= now:
             machine.handle(now, ev.Wake())
     return now
 
 
 def main(rounds: int) -> None:
+    """Measure `rounds` rounds after one that warms up, and print microseconds a request."""
     config = msgspec.convert(relay.configuration(1), Config)
-    machine, now = build.machine(config, 1), 100.0
+    machine = build.machine(config, 1)
+    now = 100.0
     machine.handle(now, build.roster(config, config.groups, 0.0))
     for client in range(1, CLIENTS + 1):
         machine.handle(now, ev.ClientOpened(client))
@@ -53,9 +63,9 @@
     gc.set_threshold(50_000, 20, 50)
     times = []
     for _ in range(rounds):
-        begin = time.process_time()
+        started_at = time.process_time()
         now = drive(machine, now, REQUESTS)
-        times.append((time.process_time() - begin) / REQUESTS)
+        times.append((time.process_time() - started_at) / REQUESTS)
     print(f"{1e6 * min(times):.0f} us a request, {1e6 * sorted(times)[rounds // 2]:.0f} in the median")
 
 
--- a/benchmarks/pg_machine.py
+++ b/benchmarks/pg_machine.py
@@ -1,9 +1,10 @@
-"""What a request costs the machine on the platform's protocol, without sockets, and what stays behind of it.
+"""Processor time of one request in the state machine on the platform's protocol, without sockets, and memory kept.
 
     .venv/bin/python benchmarks/pg_machine.py [--requests 20000]
 
-Every request has a new client, id and key, and its node answers after 30 ms of virtual time. Prints microseconds a
-request, objects and bytes that are left after each quarter.
+Every request has a new client, id and key, and its member answers after 30 ms of virtual time. After each quarter of
+the requests, prints microseconds a request and the number of objects that are alive, to show state that is never freed.
+With tracemalloc running (`python -X tracemalloc`), prints the allocated bytes too.
 """
 
 from __future__ import annotations
@@ -23,20 +24,27 @@
 from banklift.proxy.plan import Limits
 from banklift.rig.platform_settings import SETTINGS
 
-STEP = 0.004  # seconds between requests
+REQUEST_INTERVAL_S = 0.004
+CONNECT_DELAY_S = 0.005
+LOGIN_DELAY_S = 0.001
+USAGE_DELAY_S = 0.002
+STATEMENT_DELAY_S = 0.03
+CLIENT_CLOSE_DELAY_S = 0.5  # from an answer to the client that closes its connection
 
 
-def answer(now: float, primary: bool) -> bytes:
-    told = frames.parameter("server_role", "writer" if primary else "reader")
-    told += frames.parameter("commit_clock", str(int(now * 1000)))
+def statement_reply(now: float, primary: bool) -> bytes:
+    """A member's reply to any statement: one row, and the status parameters as of `now` (seconds)."""
+    status = frames.parameter("server_role", "writer" if primary else "reader")
+    status += frames.parameter("commit_clock", str(int(now * 1000)))
     description = frames.message(
         b"T", b"\0\x01content\0" + b"\0" * 6 + b"\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01"
     )
     row = frames.message(b"D", b"\0\x01\0\0\0\x08" + b"12345678")
-    return description + row + frames.message(b"C", b"SELECT 1\0") + told + frames.READY
+    return description + row + frames.message(b"C", b"SELECT 1\0") + status + frames.READY
 
 
-def usage(now: float, primary: bool) -> bytes:
+def usage_reply(now: float, primary: bool) -> bytes:
+    """A member's reply to `SHOW usage` at `now` (seconds)."""
     text = b"x0=%.3f,x1=%d,inflight=1,queue=0" % (now, primary)
     description = frames.message(
         b"T", b"\0\x01usage\0" + b"\0" * 6 + b"\0\0\0\x19\xff\xff\xff\xff\xff\xff\0\0"
@@ -45,8 +53,8 @@
     return description + row + frames.message(b"C", b"SHOW\0") + frames.READY
 
 
-class Site:
-    """One machine, three groups of three nodes that answer after a while."""
+class Simulation:
+    """One state machine, and three groups of three members that answer after a delay of virtual time."""
 
     def __init__(self) -> None:
         self.machine = Machine(
@@ -59,88 +67,98 @@
         )
         self.now = 1000.0
         self.links: dict[int, str] = {}
-        self.soon: list[tuple[float, int, ev.Event]] = []
-        self.count = 0
+        self.due_events: list[tuple[float, int, ev.Event]] = []
+        self.scheduled = 0  # breaks ties between events of one time
         self.served = 0
-        self.spent = 0.0
+        self.processor_s = 0.0  # real time spent in the state machine
         members = tuple(
             ev.Listed(f"s{group}{place}", group, f"s{group}{place}:1", State.READY, place == 0)
             for group in range(3)
             for place in range(3)
         )
-        self.tell(ev.Roster(members))
+        self.handle(ev.Roster(members))
 
-    def later(self, delay: float, event: ev.Event) -> None:
-        self.count += 1
-        heapq.heappush(self.soon, (self.now + delay, self.count, event))
+    def schedule(self, delay: float, event: ev.Event) -> None:
+        """Have `event` happen in `delay` seconds of virtual time."""
+        self.scheduled += 1
+        heapq.heappush(self.due_events, (self.now + delay, self.scheduled, event))
 
-    def tell(self, event: ev.Event) -> None:
-        begun = time.perf_counter()
+    def handle(self, event: ev.Event) -> None:
+        """Pass an event to the state machine, measure its time, and schedule the effects of its actions."""
+        started_at = time.perf_counter()
         actions = self.machine.handle(self.now, event)
-        self.spent += time.perf_counter() - begun
+        self.processor_s += time.perf_counter() - started_at
         for action in actions:
             match action:
                 case ev.OpenLink(link, address):
                     self.links[link] = address
-                    self.later(0.005, ev.LinkUp(link))
+                    self.schedule(CONNECT_DELAY_S, ev.LinkUp(link))
                 case ev.CloseLink(link):
                     del self.links[link]
                 case ev.ToLink(link, data):
                     primary = self.links[link][2] == "0"
                     if data[4:8] == b"\0\x03\0\0":
-                        self.later(0.001, ev.LinkData(link, frames.AUTHENTICATED + frames.READY))
+                        self.schedule(LOGIN_DELAY_S, ev.LinkData(link, frames.AUTHENTICATED + frames.READY))
                     elif data == USAGE:
-                        self.later(0.002, ev.LinkData(link, usage(self.now, primary)))
+                        self.schedule(USAGE_DELAY_S, ev.LinkData(link, usage_reply(self.now, primary)))
                     else:
-                        self.later(0.03, ev.LinkData(link, answer(self.now, primary)))
+                        self.schedule(
+                            STATEMENT_DELAY_S, ev.LinkData(link, statement_reply(self.now, primary))
+                        )
                 case ev.ToClient(client, data):
                     if data[:1] == b"T":
                         self.served += 1
-                        self.later(0.5, ev.ClientLost(client))
+                        self.schedule(CLIENT_CLOSE_DELAY_S, ev.ClientLost(client))
 
-    def until(self, end: float) -> None:
+    def run_until(self, end: float) -> None:
+        """Advance the virtual time to `end` (seconds), handling timers and events that are due before it."""
         while True:
-            wake = self.machine.wake
-            event = self.soon[0][0] if self.soon else end
-            if min(wake, event) >= end:
+            wake_at = self.machine.wake
+            event_at = self.due_events[0][0] if self.due_events else end
+            if min(wake_at, event_at) >= end:
                 break
-            if wake < event:
-                self.now = max(self.now, wake)
-                self.tell(ev.Wake())
+            if wake_at < event_at:
+                self.now = max(self.now, wake_at)
+                self.handle(ev.Wake())
             else:
-                self.now = max(self.now, event)
-                self.tell(heapq.heappop(self.soon)[2])
+                self.now = max(self.now, event_at)
+                self.handle(heapq.heappop(self.due_events)[2])
         self.now = end
 
-    def ask(self, number: int) -> None:
-        kind = ("view", "own", "save", "view")[number % 4]
-        note = f"/* id={number:016x},c={kind},t=acme,d=2000,cluster={number % 3} */"
-        text = f"SELECT content FROM kv WHERE name = 'k{number}' {note}"
-        if kind == "save":
-            text = f"INSERT INTO kv (name, content) VALUES ('k{number}', '\\x9f03') RETURNING content {note}"
-        self.tell(ev.ClientOpened(number))
-        self.tell(ev.ClientData(number, frames.startup("backend", "store") + frames.query(text.encode())))
+    def send_request(self, number: int) -> None:
+        """Open client `number` and send one statement: three reads to each write."""
+        class_name = ("view", "own", "save", "view")[number % 4]
+        comment = f"/* id={number:016x},c={class_name},t=acme,d=2000,cluster={number % 3} */"
+        text = f"SELECT content FROM kv WHERE name = 'k{number}' {comment}"
+        if class_name == "save":
+            text = (
+                f"INSERT INTO kv (name, content) VALUES ('k{number}', '\\x9f03') RETURNING content {comment}"
+            )
+        self.handle(ev.ClientOpened(number))
+        self.handle(ev.ClientData(number, frames.startup("backend", "store") + frames.query(text.encode())))
 
 
 def main(requests: int) -> None:
-    site = Site()
-    trace = tracemalloc.is_tracing()
+    """Run `requests` requests and print the figures after each quarter."""
+    simulation = Simulation()
+    tracing = tracemalloc.is_tracing()
     gc.collect()
     gc.freeze()
     gc.set_threshold(20_000, 20, 50)
     number = 0
     for quarter in range(4):
-        before = site.spent
+        processor_s_before = simulation.processor_s
         for _ in range(requests // 4):
             number += 1
-            site.ask(number)
-            site.until(site.now + STEP)
-        cost = (site.spent - before) / (requests // 4) * 1e6
-        held = len(gc.get_objects())
-        size = f", {tracemalloc.get_traced_memory()[0]:,} bytes" if trace else ""
+            simulation.send_request(number)
+            simulation.run_until(simulation.now + REQUEST_INTERVAL_S)
+        cost_us = (simulation.processor_s - processor_s_before) / (requests // 4) * 1e6
+        objects = len(gc.get_objects())
+        size = f", {tracemalloc.get_traced_memory()[0]:,} bytes" if tracing else ""
         print(
-            f"quarter {quarter + 1}: {cost:.0f} us a request, {held:,} objects{size}, "
-            f"{len(site.machine.timers)} timers, {site.machine.timers.room} places, served {site.served}"
+            f"quarter {quarter + 1}: {cost_us:.0f} us a request, {objects:,} objects{size}, "
+            f"{len(simulation.machine.timers)} timers, {simulation.machine.timers.room} heap entries, "
+            f"served {simulation.served}"
         )
     print(f"after a full collection: {gc.collect():,} found, {len(gc.get_objects()):,} objects left")
 
--- a/benchmarks/service.py
+++ b/benchmarks/service.py
@@ -1,10 +1,11 @@
-"""What a request costs the router's process on the platform's protocol, on sockets, and what memory it keeps.
+"""Processor time of one request in the router's process on the platform's protocol, over sockets, and memory kept.
 
     python -m benchmarks.service [--rate R] [--seconds S] [--profile FILE]
 
-Stand-in nodes, catalogue and clients run here; the router is a process of its own, started as `run` starts it. Requests
-come at a steady rate over connections that are kept, a part over new ones. Figures come from /proc: microseconds of CPU
-a request, resident memory by quarters.
+Emulated members, the catalogue and the clients run in this process; the router runs in a process of its own, started
+as the platform starts it. Requests arrive at a steady mean rate, seven of eight over connections that are kept open and
+the others over new ones. Prints for each quarter of the run, from /proc, microseconds of CPU a request and the resident
+memory. `--profile` writes a profile of the router (cProfile) to FILE.
 """
 
 from __future__ import annotations
@@ -82,37 +83,46 @@
 }
 
 
-class Caller(Peer):
-    """One client connection, one request at a time."""
+NEW_CONNECTION_INTERVAL = 8  # every so many requests, one uses a new connection
+
+
+class ClientConnection(Peer):
+    """One client connection, with at most one request at a time."""
 
     def __init__(self, load: Load) -> None:
         self.load = load
         self.handle: Handle | None = None
         self.busy = False
-        self.sent = 0.0
+        self.sent_at = 0.0  # seconds, on the clock of the environment
 
     def up(self, handle: Handle) -> None:
+        """Keep the handle of the connection, which is established."""
         self.handle = handle
 
-    def ask(self, text: bytes, first: bool) -> None:
-        self.busy, self.sent = True, self.load.env.now()
+    def send_request(self, text: bytes, first: bool) -> None:
+        """Send a statement, after the start-up message if it is the connection's first."""
+        self.busy = True
+        self.sent_at = self.load.env.now()
         assert self.handle is not None
         self.handle.send((frames.startup("backend", "store") if first else b"") + frames.query(text))
 
     def data(self, data: bytes) -> None:
+        """Count the answer: an error as refused, anything else as served."""
         if b"C\0\0\0" in data or data[:1] == b"E":
             self.busy = False
             if data[:1] == b"E":
                 self.load.refused += 1
             else:
                 self.load.served += 1
-                self.load.times.append(self.load.env.now() - self.sent)
-            self.load.rest(self)
+                self.load.times.append(self.load.env.now() - self.sent_at)
+            self.load.add_idle(self)
 
     def eof(self) -> None:
+        """Close the connection after the router has closed its side."""
         self.lost("closed")
 
     def lost(self, reason: str) -> None:
+        """Take the connection out of the pool and close it."""
         if self in self.load.idle:
             self.load.idle.remove(self)
         if self.handle is not None:
@@ -120,39 +130,44 @@
 
 
 class Load:
+    """Sends requests at `rate` a second on average, with exponentially distributed intervals."""
+
     def __init__(self, env: SocketEnv, address: str, rate: float) -> None:
         self.env, self.address, self.rate = env, address, rate
-        self.idle: deque[Caller] = deque()
-        self.served = self.refused = self.asked = 0
-        self.times: list[float] = []
+        self.idle: deque[ClientConnection] = deque()
+        self.served = self.refused = self.sent = 0
+        self.times: list[float] = []  # seconds from a request to its answer
         self.random = random.Random(1)
         self.stopped = False
 
-    def rest(self, caller: Caller) -> None:
-        self.idle.append(caller)
+    def add_idle(self, connection: ClientConnection) -> None:
+        """Put a connection into the pool for later requests."""
+        self.idle.append(connection)
 
-    def next(self) -> None:
+    def send_next(self) -> None:
+        """Send one request and schedule the next one, until the load is stopped."""
         if self.stopped:
             return
-        self.env.at(self.env.now() + self.random.expovariate(self.rate), self.next)
-        self.asked += 1
-        kind = ("view", "own", "save", "view")[self.asked % 4]
-        note = f"/* id={self.asked:016x},c={kind},t=acme,d=2000,cluster={self.asked % 3} */"
-        text = f"SELECT content FROM kv WHERE name = 'k{self.asked}' {note}"
-        if kind == "save":
-            text = (
-                f"INSERT INTO kv (name, content) VALUES ('k{self.asked}', '\\x9f03') RETURNING content {note}"
-            )
-        if self.idle and self.asked % 8:
-            self.idle.popleft().ask(text.encode(), False)
+        self.env.at(self.env.now() + self.random.expovariate(self.rate), self.send_next)
+        self.sent += 1
+        class_name = ("view", "own", "save", "view")[self.sent % 4]
+        comment = f"/* id={self.sent:016x},c={class_name},t=acme,d=2000,cluster={self.sent % 3} */"
+        text = f"SELECT content FROM kv WHERE name = 'k{self.sent}' {comment}"
+        if class_name == "save":
+            text = f"INSERT INTO kv (name, content) VALUES ('k{self.sent}', '\\x9f03') RETURNING content {comment}"
+        if self.idle and self.sent % NEW_CONNECTION_INTERVAL:
+            self.idle.popleft().send_request(text.encode(), False)
         else:
-            caller = Caller(self)
-            caller.handle = self.env.connect(self.address, caller)
-            caller.ask(text.encode(), True)
+            connection = ClientConnection(self)
+            connection.handle = self.env.connect(self.address, connection)
+            connection.send_request(text.encode(), True)
+
 
+def process_usage(pid: int) -> tuple[float, int]:
+    """CPU time of a process in seconds, user and system, and its resident memory in kB.
 
-def spent(pid: int) -> tuple[float, int]:
-    """CPU seconds and resident kB."""
+    Errors: `OSError` if there is no such process.
+    """
     with open(f"/proc/{pid}/stat") as file:
         fields = file.read().rpartition(")")[2].split()
     with open(f"/proc/{pid}/status") as file:
@@ -161,14 +176,15 @@
 
 
 async def main(rate: float, seconds: float, profile: str) -> None:
+    """Run the load at `rate` requests a second for `seconds`. `profile`: file for a profile, empty for none."""
     async with anyio.create_task_group() as tasks:
         env = SocketEnv(tasks, time.time)
         catalogue = Catalogue(env).start()
         for group in range(3):
             store: dict[bytes, bytes] = {}
             for place in range(3):
-                node = PgNode(env, primary=place == 0, delay=0.03, store=store).start()
-                catalogue.list(f"s{group}{place}", node.address, group, writes=place == 0)
+                member = PgNode(env, primary=place == 0, delay=0.03, store=store).start()
+                catalogue.list(f"s{group}{place}", member.address, group, writes=place == 0)
         with tempfile.TemporaryDirectory() as folder:
             listen = "127.0.0.1:47411"
             config = {
@@ -190,27 +206,30 @@
                 "ROUTER_DISCOVERY": catalogue.address,
                 "ROUTER_CONFIG": path,
             }
-            how = ["-m", "cProfile", "-o", profile, "-m"] if profile else ["-m"]
+            arguments = ["-m", "cProfile", "-o", profile, "-m"] if profile else ["-m"]
             process = subprocess.Popen(
-                [sys.executable, *how, "banklift.net.service"], env=environment, stderr=subprocess.DEVNULL
+                [sys.executable, *arguments, "banklift.net.service"],
+                env=environment,
+                stderr=subprocess.DEVNULL,
             )
             await anyio.sleep(1.0)
             load = Load(env, listen, rate)
-            load.next()
+            load.send_next()
             for quarter in range(4):
-                before, served = spent(process.pid)[0], load.asked
+                cpu_before = process_usage(process.pid)[0]
+                sent_before = load.sent
                 await anyio.sleep(seconds / 4)
-                cpu, resident = spent(process.pid)
+                cpu, resident_kb = process_usage(process.pid)
                 print(
-                    f"quarter {quarter + 1}: {(cpu - before) / (load.asked - served) * 1e6:.0f} us a request, "
-                    f"{resident / 1024:.1f} MB"
+                    f"quarter {quarter + 1}: {(cpu - cpu_before) / (load.sent - sent_before) * 1e6:.0f} us a request, "
+                    f"{resident_kb / 1024:.1f} MB"
                 )
             load.stopped = True
             load.times.sort()
-            middle, late = (load.times[len(load.times) * part // 100] * 1000 for part in (50, 99))
+            median_ms, p99_ms = (load.times[len(load.times) * part // 100] * 1000 for part in (50, 99))
             print(
-                f"asked {load.asked}, served {load.served}, refused {load.refused}, median {middle:.1f} ms, "
-                f"99% {late:.1f} ms"
+                f"sent {load.sent}, served {load.served}, refused {load.refused}, median {median_ms:.1f} ms, "
+                f"99% {p99_ms:.1f} ms"
             )
             process.terminate()
             with anyio.move_on_after(10):
