--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -1,11 +1,12 @@
-"""What the machine's next request costs while many others are open, and a client that leaves: processor time.
+"""Processor time of a request, and of a client's disconnection, while many other requests are open.
 
     .venv/bin/python benchmarks/flood.py [--keep]
 
-One group. Its primary has begun to answer late: writes pile up, some out there, some waiting for a link, most held for
-room. Reads that any member may serve go on at a replica that answers at once; they are the next request. Rounds with
-and without the flood alternate in one run, and the least of each is compared. At the end every client leaves, and the
-memory that the flood took is compared with what is left of it.
+The state machine serves one group whose primary no longer answers statements. Writes pile up: some are in flight, some
+wait for a link, and most are held until there is room. Reads that any member may serve go on at a replica that answers
+at once; they are what is measured. Rounds with each number of open writes alternate within one run, and the minimum of
+each is compared. A second measurement compares the memory that 10,000 open writes take with what is left after their
+clients have disconnected.
 """
 
 from __future__ import annotations
@@ -29,14 +30,16 @@
 from banklift.resp.frames import command
 from banklift.resp.wire import INFO, ROLE
 
-SIZES = (0, 1000, 5000, 10_000)
-READS, LEAVERS, ROUNDS = 400, 400, 5
-HISTORY = "a" * 40
-OUT = Path(__file__).with_name("results") / "flood.json"
+FLOOD_SIZES = (0, 1000, 5000, 10_000)  # open writes
+READS = 400  # in each round
+DISCONNECTIONS = 400  # sampled from each flood
+ROUNDS = 5
+REPLICATION_ID = "a" * 40
+RESULTS_FILE = Path(__file__).with_name("results") / "flood.json"
 
 
-class Site:
-    """A machine, a primary that may answer late and a replica that doesn't."""
+class Simulation:
+    """A state machine in virtual time, a replica that answers at once, and a primary that may stop answering."""
 
     def __init__(self) -> None:
         example = load(EXAMPLE)
@@ -50,35 +53,39 @@
         )
         classes = [
             msgspec.structs.replace(
-                kind, deadline=600.0, aim=300.0 if kind.need.value == "write" else kind.aim
+                request_class,
+                deadline=600.0,
+                aim=300.0 if request_class.need.value == "write" else request_class.aim,
             )
-            for kind in example.classes
+            for request_class in example.classes
         ]
         limits = msgspec.structs.replace(example.limits, clients=100_000, **LIMITS)
         self.config = msgspec.structs.replace(example, groups=[group], classes=classes, limits=limits)
         self.machine: Machine = build.machine(self.config, 1)
         self.now = 100.0
-        self.late = False
-        self.links: dict[int, str] = {}
+        self.primary_silent = False  # the primary then answers only INFO
+        self.links: dict[int, str] = {}  # address by link
         self.clients = 0
         self.machine.handle(self.now, build.roster(self.config, self.config.groups, 0.0))
 
-    def tell(self, event: ev.Event) -> None:
-        todo = deque(self.machine.handle(self.now, event))
-        while todo:
-            action = todo.popleft()
+    def handle(self, event: ev.Event) -> None:
+        """Pass an event to the state machine, and its requests to the members until nothing is left to do."""
+        actions = deque(self.machine.handle(self.now, event))
+        while actions:
+            action = actions.popleft()
             if isinstance(action, ev.OpenLink):
                 self.links[action.link] = action.address
-                todo.extend(self.machine.handle(self.now, ev.LinkUp(action.link)))
+                actions.extend(self.machine.handle(self.now, ev.LinkUp(action.link)))
             elif isinstance(action, ev.ToLink):
                 primary = self.links[action.link] == "m:0"
-                if primary and self.late and action.data != INFO:
+                if primary and self.primary_silent and action.data != INFO:
                     continue
                 self.now += 0.0001
-                answer = self.answer(action.data, primary)
-                todo.extend(self.machine.handle(self.now, ev.LinkData(action.link, answer)))
+                reply = self.reply(action.data, primary)
+                actions.extend(self.machine.handle(self.now, ev.LinkData(action.link, reply)))
 
-    def answer(self, data: bytes, primary: bool) -> bytes:
+    def reply(self, data: bytes, primary: bool) -> bytes:
+        """A member's reply to the commands in `data`: one of each kind, in the order of this loop."""
         found = b""
         for part in ("GET", "APPEND", "INFO", "ROLE"):
             at = data.find(f"\r\n{part}\r\n".encode())
@@ -89,7 +96,7 @@
             elif at >= 0 and part == "INFO":
                 text = (
                     f"role:{'master' if primary else 'slave'}\r\nmaster_host:m\r\nmaster_port:0\r\n"
-                    f"master_link_status:up\r\nslave_repl_offset:5\r\nmaster_replid:{HISTORY}\r\n"
+                    f"master_link_status:up\r\nslave_repl_offset:5\r\nmaster_replid:{REPLICATION_ID}\r\n"
                     f"master_replid2:{'0' * 40}\r\nmaster_repl_offset:5\r\nsecond_repl_offset:-1"
                 ).encode()
                 found += b"$%d\r\n%b\r\n" % (len(text), text)
@@ -101,91 +108,100 @@
                 )
         return found
 
-    def wakes(self) -> None:
+    def run_timers(self) -> None:
+        """Run the timers that are due."""
         while self.machine.wake <= self.now:
-            self.tell(ev.Wake())
+            self.handle(ev.Wake())
 
-    def client(self) -> int:
+    def connect_client(self) -> int:
+        """Open a client connection and return its number."""
         self.clients += 1
-        self.tell(ev.ClientOpened(self.clients))
+        self.handle(ev.ClientOpened(self.clients))
         return self.clients
 
-    def reads(self, client: int) -> float:
-        """Seconds of processor that a read takes."""
+    def measure_reads(self, client: int) -> float:
+        """Send `READS` reads from one client. Returns seconds of processor time a read."""
         get = command("GET", "alert:{a}")
-        begin = time.process_time()
+        started_at = time.process_time()
         for _ in range(READS):
             self.now += 0.0005
-            self.tell(ev.ClientData(client, get))
-            self.wakes()
-        return (time.process_time() - begin) / READS
-
-    def flood(self, size: int) -> list[int]:
-        self.late = True
-        clients = [self.client() for _ in range(size)]
+            self.handle(ev.ClientData(client, get))
+            self.run_timers()
+        return (time.process_time() - started_at) / READS
+
+    def start_flood(self, size: int) -> list[int]:
+        """Silence the primary and send one write from each of `size` new clients. Returns the clients."""
+        self.primary_silent = True
+        clients = [self.connect_client() for _ in range(size)]
         for client in clients:
             self.now += 0.00005
-            self.tell(ev.ClientData(client, command("APPEND", "note:{a}", "x")))
-            self.wakes()
+            self.handle(ev.ClientData(client, command("APPEND", "note:{a}", "x")))
+            self.run_timers()
         return clients
 
-    def leave(self, clients: list[int]) -> float:
-        """Seconds of processor that a leaver takes."""
-        begin = time.process_time()
+    def measure_disconnections(self, clients: list[int]) -> float:
+        """Disconnect `clients`. Returns seconds of processor time a client."""
+        started_at = time.process_time()
         for client in clients:
-            self.tell(ev.ClientLost(client))
-        return (time.process_time() - begin) / max(len(clients), 1)
+            self.handle(ev.ClientLost(client))
+        return (time.process_time() - started_at) / max(len(clients), 1)
 
 
-LIMITS: dict[str, object] = {"queue": 100_000, "waiting": 100_000}  # so that all of the flood is open
+LIMITS: dict[str, object] = {"queue": 100_000, "waiting": 100_000}  # high enough that no write is refused
 
 
-def measure() -> dict[str, object]:
-    sites: dict[int, tuple[Site, int, list[int]]] = {}
-    for size in SIZES:
-        site = Site()
-        reader = site.client()
-        site.tell(ev.ClientData(reader, command("APPEND", "note:{a}", "x")))
-        site.reads(reader)
-        sites[size] = site, reader, site.flood(size)
-        print(f"{size} asked: {len(site.machine.open)} open", file=sys.stderr)
+def measure_times() -> dict[str, object]:
+    """Microseconds a read and a disconnection, by the number of open writes."""
+    simulations: dict[int, tuple[Simulation, int, list[int]]] = {}
+    for size in FLOOD_SIZES:
+        simulation = Simulation()
+        reader = simulation.connect_client()
+        simulation.handle(ev.ClientData(reader, command("APPEND", "note:{a}", "x")))
+        simulation.measure_reads(reader)
+        simulations[size] = simulation, reader, simulation.start_flood(size)
+        print(f"{size} sent: {len(simulation.machine.open)} open", file=sys.stderr)
     gc.collect()
     gc.freeze()
-    reads: dict[int, list[float]] = {size: [] for size in SIZES}
+    reads: dict[int, list[float]] = {size: [] for size in FLOOD_SIZES}
     for _ in range(ROUNDS):
-        for size, (site, reader, _) in sites.items():
-            reads[size].append(site.reads(reader))
-    leavers = {
-        size: site.leave(Random(1).sample(flood, LEAVERS)) for size, (site, _, flood) in sites.items() if size
+        for size, (simulation, reader, _) in simulations.items():
+            reads[size].append(simulation.measure_reads(reader))
+    disconnections = {
+        size: simulation.measure_disconnections(Random(1).sample(flood, DISCONNECTIONS))
+        for size, (simulation, _, flood) in simulations.items()
+        if size
     }
-    least = {size: min(times) for size, times in reads.items()}
+    fastest = {size: min(times) for size, times in reads.items()}
     return {
-        "read, us": {size: round(1e6 * took, 1) for size, took in least.items()},
-        "read, ratio to none open": {size: round(took / least[0], 2) for size, took in least.items()},
-        "leaver, us": {size: round(1e6 * took, 1) for size, took in leavers.items()},
+        "read, us": {size: round(1e6 * seconds, 1) for size, seconds in fastest.items()},
+        "read, ratio to none open": {
+            size: round(seconds / fastest[0], 2) for size, seconds in fastest.items()
+        },
+        "leaver, us": {size: round(1e6 * seconds, 1) for size, seconds in disconnections.items()},
     }
 
 
-def memory() -> dict[str, int]:
-    """Bytes that a flood of 10,000 takes, and that are left when it is over."""
-    site = Site()
-    reader = site.client()
+def measure_memory() -> dict[str, int]:
+    """Bytes that the largest flood takes, and bytes left 5 s (virtual time) after its clients disconnected."""
+    simulation = Simulation()
+    reader = simulation.connect_client()
+    # Two small floods warm up, so that what is allocated only once is not counted.
     for _ in range(2):
-        site.leave(site.flood(500))
-        site.late = False
-        site.now += 700.0
-        site.wakes()
-        site.reads(reader)
+        simulation.measure_disconnections(simulation.start_flood(500))
+        simulation.primary_silent = False
+        simulation.now += 700.0
+        simulation.run_timers()
+        simulation.measure_reads(reader)
     gc.collect()
     tracemalloc.start()
-    flood = site.flood(SIZES[-1])
+    flood = simulation.start_flood(FLOOD_SIZES[-1])
     during = tracemalloc.get_traced_memory()[0]
-    site.leave(flood)
+    simulation.measure_disconnections(flood)
     flood.clear()
-    site.late = False
-    site.now += 5.0
-    site.wakes()
-    site.reads(reader)
+    simulation.primary_silent = False
+    simulation.now += 5.0
+    simulation.run_timers()
+    simulation.measure_reads(reader)
     gc.collect()
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
@@ -198,7 +214,7 @@
     )
     parser.add_argument("--keep", action="store_true", help="write the results to benchmarks/results")
     given = parser.parse_args()
-    found = measure() | memory()
-    print(json.dumps(found, indent=1))
+    results = measure_times() | measure_memory()
+    print(json.dumps(results, indent=1))
     if given.keep:
-        OUT.write_text(json.dumps(found, indent=1) + "\n")
+        RESULTS_FILE.write_text(json.dumps(results, indent=1) + "\n")
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,9 +1,10 @@
-"""The router beside a bare relay that decides nothing: throughput and added latency as ratios within one run.
+"""Throughput and added latency of the router, as ratios to those of a TCP relay measured in the same run.
 
-Both stand in front of the same replying peer: a process that answers every command with a fixed frame, as fast as it
-can. The relay copies bytes between each client connection and one connection of its own to the peer, in anyio tasks on
-uvloop. The load is the same: closed loops of clients, each with one command out, or with pipelines of 16. Rounds of
-router and relay alternate, and the medians are compared, so a noisy machine troubles both alike.
+Router and relay forward to the same member: a process that answers every command with a fixed frame, as fast as it can.
+The relay copies bytes between each client connection and one connection of its own to the member, in anyio tasks on
+uvloop. The load is the same for both: clients in closed loops, each with one command in flight or a pipeline of 16.
+Rounds with router, relay and direct connections alternate, and medians are compared, so that noise on the machine
+affects all of them alike.
 
     .venv/bin/python benchmarks/relay.py [--seconds 2] [--rounds 3] [--out benchmarks/results/relay.json]
 """
@@ -28,7 +29,7 @@
 import anyio.abc
 import uvloop
 
-ROLE = b"*3\r\n$6\r\nmaster\r\n:1000\r\n*0\r\n"
+ROLE_REPLY = b"*3\r\n$6\r\nmaster\r\n:1000\r\n*0\r\n"
 INFO = (
     "# Replication\r\nrole:master\r\nmaster_replid:"
     + "a" * 40
@@ -36,36 +37,41 @@
     + "0" * 40
     + "\r\nmaster_repl_offset:1000\r\nsecond_repl_offset:-1\r\n"
 ).encode()
-CASES = [(1, 1), (64, 1), (512, 1), (1, 16), (64, 16), (512, 16)]  # clients, pipeline
+CASES = [(1, 1), (64, 1), (512, 1), (1, 16), (64, 16), (512, 16)]  # clients, pipeline depth
 VALUE = b"$32\r\n" + b"v" * 32 + b"\r\n"
 GET = b"*2\r\n$3\r\nGET\r\n$7\r\nalert:1\r\n"
 
 
-def peer(pipe: Any) -> None:
-    """A member that answers at once: role questions truly, anything else with one value."""
+def run_member(pipe: Any) -> None:
+    """Run a member that answers at once: ROLE and INFO as a primary, and the load's GET with a fixed value.
+
+    Sends its port through `pipe`.
+    """
     import asyncio
 
     class Member(asyncio.Protocol):
         def connection_made(self, transport: Any) -> None:
-            self.transport, self.rest = transport, b""
+            self.transport = transport
+            self.unparsed = b""
 
         def data_received(self, data: bytes) -> None:
-            data = self.rest + data
-            out, pos = [], 0
+            data = self.unparsed + data
+            replies: list[bytes] = []
+            pos = 0
             while pos < len(data):
                 if data.startswith(GET, pos):
-                    out.append(VALUE)
+                    replies.append(VALUE)
                     pos += len(GET)
                 elif data.startswith(b"*1\r\n$4\r\nROLE\r\n", pos):
-                    out.append(ROLE)
+                    replies.append(ROLE_REPLY)
                     pos += 14
                 elif data.startswith(b"*2\r\n$4\r\nINFO\r\n$11\r\nreplication\r\n", pos):
-                    out.append(b"$%d\r\n%b\r\n" % (len(INFO), INFO))
+                    replies.append(b"$%d\r\n%b\r\n" % (len(INFO), INFO))
                     pos += 32
                 else:
                     break
-            self.rest = data[pos:]
-            self.transport.write(b"".join(out))
+            self.unparsed = data[pos:]
+            self.transport.write(b"".join(replies))
 
     async def main() -> None:
         server = await asyncio.get_running_loop().create_server(Member, "127.0.0.1", 0)
@@ -75,7 +81,9 @@
     uvloop.run(main())
 
 
-def relay(pipe: Any, port: int) -> None:
+def run_relay(pipe: Any, port: int) -> None:
+    """Run a relay to the member at `port` of this host. Sends its own port through `pipe`."""
+
     async def copy(source: anyio.abc.ByteStream, sink: anyio.abc.ByteStream) -> None:
         try:
             async for data in source:
@@ -101,37 +109,43 @@
     anyio.run(main, backend_options={"use_uvloop": True})
 
 
-def load(pipe: Any, port: int, clients: int, depth: int, seconds: float) -> None:
-    """Closed loops; sends back how many answers came and the latencies of a sample."""
+def run_load(pipe: Any, port: int, clients: int, depth: int, seconds: float) -> None:
+    """Load `port` of this host with `clients` closed loops of pipelines of `depth` commands, for `seconds`.
+
+    Sends (replies a second, median seconds of a pipeline, replies that refused) through `pipe`.
+    """
     import asyncio
 
     times: list[float] = []
-    counts, refused = [0], [0]
-    batch, size = GET * depth, len(VALUE) * depth
+    counts = [0]
+    refused = [0]
+    batch = GET * depth
+    reply_size = len(VALUE) * depth
     end = time.perf_counter() + seconds
-    done: list[Any] = []
+    finished: list[Any] = []
 
     class Client(asyncio.Protocol):
         def connection_made(self, transport: Any) -> None:
-            self.transport, self.got = transport, 0
+            self.transport = transport
+            self.received = 0  # bytes of the replies to the current pipeline
             self.finished = asyncio.get_running_loop().create_future()
-            done.append(self.finished)
+            finished.append(self.finished)
             self.send()
 
         def send(self) -> None:
-            self.sent = time.perf_counter()
+            self.sent_at = time.perf_counter()
             self.transport.write(batch)
 
         def data_received(self, data: bytes) -> None:
-            if b"-TRYAGAIN" in data:  # refused: the round's figures would mean nothing
+            if b"-TRYAGAIN" in data:  # counted, as a refusal makes the round's figures meaningless
                 refused[0] += data.count(b"-TRYAGAIN")
-                self.got += size
-            self.got += len(data)
-            if self.got >= size:
+                self.received += reply_size
+            self.received += len(data)
+            if self.received >= reply_size:
                 now = time.perf_counter()
-                times.append(now - self.sent)
+                times.append(now - self.sent_at)
                 counts[0] += depth
-                self.got = 0
+                self.received = 0
                 if now < end:
                     self.send()
                 else:
@@ -142,22 +156,23 @@
         loop = asyncio.get_running_loop()
         for _ in range(clients):
             await loop.create_connection(Client, "127.0.0.1", port)
-        await asyncio.gather(*done)
+        await asyncio.gather(*finished)
 
-    begin = time.perf_counter()
+    started_at = time.perf_counter()
     uvloop.run(main())
-    pipe.send((counts[0] / (time.perf_counter() - begin), statistics.median(times), refused[0]))
+    pipe.send((counts[0] / (time.perf_counter() - started_at), statistics.median(times), refused[0]))
 
 
 def start(target: Any, *args: Any) -> tuple[Any, Any]:
-    ours, theirs = multiprocessing.Pipe()
-    process = multiprocessing.Process(target=target, args=(theirs, *args), daemon=True)
+    """Run `target(pipe, *args)` in a process. Returns the process and this side of the pipe."""
+    parent_end, child_end = multiprocessing.Pipe()
+    process = multiprocessing.Process(target=target, args=(child_end, *args), daemon=True)
     process.start()
-    return process, ours
+    return process, parent_end
 
 
 def configuration(port: int) -> dict[str, Any]:
-    """One member, one class that any member may serve, aims that refuse nothing."""
+    """A router's configuration: one member at `port`, reads from any member, and aims that refuse nothing."""
     return {
         "listen": "127.0.0.1:0",
         "default_read": "any",
@@ -177,7 +192,8 @@
     }
 
 
-def router(port: int, folder: Path) -> tuple[subprocess.Popen[bytes], int]:
+def start_router(port: int, folder: Path) -> tuple[subprocess.Popen[bytes], int]:
+    """Start a router for the member at `port`, with its file in `folder`. Returns the process and its port."""
     path = folder / "router.json"
     path.write_text(json.dumps(configuration(port)))
     process = subprocess.Popen(
@@ -189,17 +205,19 @@
     return process, int(json.loads(process.stdout.readline())["listening"].rpartition(":")[2])
 
 
-def resident(pid: int) -> int:
-    """Bytes."""
+def resident_bytes(pid: int) -> int:
+    """Resident memory of a process. Errors: `OSError` if there is no such process."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
-def memory(clients: int = 1000) -> tuple[float, float]:
-    """Bytes that an idle client costs a fresh router, and how many more one with an open request does, which a member
-    that never answers has."""
+def measure_memory(clients: int = 1000) -> tuple[float, float]:
+    """Bytes that an idle client costs a fresh router, and bytes more that an open request costs.
+
+    The only member never answers, so that each request stays open.
+    """
     silent = socket.create_server(("127.0.0.1", 0), backlog=1024)
     with tempfile.TemporaryDirectory() as folder:
-        process, port = router(silent.getsockname()[1], Path(folder))
+        process, port = start_router(silent.getsockname()[1], Path(folder))
 
         def connect() -> socket.socket:
             sock = socket.create_connection(("127.0.0.1", port))
@@ -208,21 +226,22 @@
             return sock
 
         socks = [connect()]
-        begin = resident(process.pid)
+        initial = resident_bytes(process.pid)
         socks += [connect() for _ in range(clients)]
-        idle = resident(process.pid)
+        idle = resident_bytes(process.pid)
         for sock in socks:
             sock.sendall(GET)
-        socks.append(connect())  # all were read by now
-        opened = resident(process.pid)
+        socks.append(connect())  # its reply shows that the router has read all requests before it
+        opened = resident_bytes(process.pid)
         for sock in [*socks, silent]:
             sock.close()
         process.terminate()
         process.wait()
-    return (idle - begin) / clients, (opened - idle) / clients
+    return (idle - initial) / clients, (opened - idle) / clients
 
 
 def main() -> None:
+    """Measure all cases and the memory of clients, print them, and write them to `--out`."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -230,13 +249,13 @@
     parser.add_argument("--rounds", type=int, default=3)
     parser.add_argument("--out", type=Path, default=Path(__file__).with_name("results") / "relay.json")
     given = parser.parse_args()
-    member, pipe = start(peer)
+    member, pipe = start(run_member)
     member_port = pipe.recv()
-    bare, pipe = start(relay, member_port)
+    relay_process, pipe = start(run_relay, member_port)
     relay_port = pipe.recv()
     rows = []
     with tempfile.TemporaryDirectory() as folder:
-        process, router_port = router(member_port, Path(folder))
+        process, router_port = start_router(member_port, Path(folder))
         try:
             for clients, depth in CASES:
                 figures: dict[str, list[tuple[float, float, int]]] = {"router": [], "relay": [], "direct": []}
@@ -246,27 +265,29 @@
                         ("relay", relay_port),
                         ("direct", member_port),
                     ):
-                        loader, pipe = start(load, port, clients, depth, given.seconds)
+                        loader, pipe = start(run_load, port, clients, depth, given.seconds)
                         figures[name].append(pipe.recv())
                         loader.join()
-                rate = {
-                    name: statistics.median(rate for rate, _, _ in found) for name, found in figures.items()
+                rates = {
+                    name: statistics.median(rate for rate, _, _ in rounds) for name, rounds in figures.items()
                 }
-                wait = {
-                    name: statistics.median(wait for _, wait, _ in found) for name, found in figures.items()
+                latencies = {
+                    name: statistics.median(latency for _, latency, _ in rounds)
+                    for name, rounds in figures.items()
                 }
-                added = (wait["router"] - wait["direct"]) / max(wait["relay"] - wait["direct"], 1e-9)
+                added_by_relay = max(latencies["relay"] - latencies["direct"], 1e-9)
+                added_ratio = (latencies["router"] - latencies["direct"]) / added_by_relay
                 rows.append(
                     {
                         "clients": clients,
                         "pipeline": depth,
-                        "router/s": round(rate["router"]),
-                        "relay/s": round(rate["relay"]),
-                        "throughput ratio": round(rate["router"] / rate["relay"], 2),
-                        "added latency ratio": round(added, 2),
-                        "router ms": round(1000 * wait["router"], 3),
-                        "relay ms": round(1000 * wait["relay"], 3),
-                        "direct ms": round(1000 * wait["direct"], 3),
+                        "router/s": round(rates["router"]),
+                        "relay/s": round(rates["relay"]),
+                        "throughput ratio": round(rates["router"] / rates["relay"], 2),
+                        "added latency ratio": round(added_ratio, 2),
+                        "router ms": round(1000 * latencies["router"], 3),
+                        "relay ms": round(1000 * latencies["relay"], 3),
+                        "direct ms": round(1000 * latencies["direct"], 3),
                         "refused": sum(refused for _, _, refused in figures["router"]),
                     }
                 )
@@ -274,9 +295,9 @@
         finally:
             process.terminate()
             process.wait()
-    bare.terminate()
+    relay_process.terminate()
     member.terminate()
-    idle, opened = memory()
+    idle, opened = measure_memory()
     result = {
         "machine": f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}",
         "seconds": given.seconds,
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -1,8 +1,8 @@
-"""Where a router's time goes: a profile of one under load, its own time by package.
+"""Shares of a router's processor time by package, from a profile under load.
 
     .venv/bin/python benchmarks/shares.py [--clients 64] [--pipeline 1] [--seconds 4]
 
-The profiler slows Python code down and system calls hardly, so I/O comes out smaller than it is.
+The profiler slows Python code down but hardly system calls, so the share of I/O is underestimated.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from banklift.net.router import RouterHost
 from banklift.net.sockets import SocketEnv
 
-PLACES = [
+CATEGORIES = [  # part of a file's path, category of its functions; the first match counts
     ("banklift/balance", "decisions"),
     ("banklift/decide", "decisions"),
     ("random.py", "decisions"),
@@ -36,17 +36,22 @@
 ]
 
 
-def place(file: str, name: str) -> str:
-    for part, kind in PLACES:
+def category(file: str, name: str) -> str:
+    """The category of a function by its file or, for functions without one of these files, by its name."""
+    for part, found in CATEGORIES:
         if part in file:
-            return kind
+            return found
     return (
         "I/O" if any(word in name for word in ("socket", "epoll", "Future", "loop")) else "built-in functions"
     )
 
 
 async def profile(given: argparse.Namespace, folder: Path) -> dict[str, object]:
-    member, pipe = relay.start(relay.peer)
+    """Profile a router in this process under load; member and load run in processes of their own.
+
+    Returns the requests a second, and the share of each category in the profiled time.
+    """
+    member, pipe = relay.start(relay.run_member)
     path = folder / "router.json"
     path.write_text(json.dumps(relay.configuration(pipe.recv())))
     config = load(path)
@@ -56,7 +61,7 @@
         host.tell(build.roster(config, config.groups, 0.0))
         profiler = cProfile.Profile()
         loader, pipe = relay.start(
-            relay.load, int(host.address.rpartition(":")[2]), given.clients, given.pipeline, given.seconds
+            relay.run_load, int(host.address.rpartition(":")[2]), given.clients, given.pipeline, given.seconds
         )
         profiler.enable()
         while not pipe.poll():
@@ -67,19 +72,20 @@
         tasks.cancel_scope.cancel()
     member.terminate()
     times: Counter[str] = Counter()
-    for (file, _, name), (_, _, own, _, _) in pstats.Stats(profiler).stats.items():  # type: ignore[attr-defined]
-        times[place(file, name)] += own
+    for (file, _, name), (_, _, own_s, _, _) in pstats.Stats(profiler).stats.items():  # type: ignore[attr-defined]
+        times[category(file, name)] += own_s
     total = sum(times.values())
     return {
         "clients": given.clients,
         "pipeline": given.pipeline,
         "requests a second, profiled": round(rate),
         "refused": refused,
-        "shares": {name: round(own / total, 2) for name, own in times.most_common()},
+        "shares": {name: round(seconds / total, 2) for name, seconds in times.most_common()},
     }
 
 
 def main() -> None:
+    """Profile with the arguments of the command line and print the result as JSON."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
