--- a/Makefile
+++ b/Makefile
@@ -1,11 +1,11 @@
-# `make demo` sets up and plays a bad day; `make test` sets up and passes the tests.
+# `make demo` sets up the environment and runs a scripted workload with faults; `make test` sets up, lints and tests.
 PY := .venv/bin/python
 
 .PHONY: setup demo test lint hooks
 
 setup: .venv/.ready hooks
 
-# commits without a body, or with a long title, are refused from here on; nothing to do outside of a repository
+# Enables githooks/, which refuses commits without a body or with a long title. Does nothing outside a repository.
 hooks:
 	@git config core.hooksPath githooks 2>/dev/null || true
 
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,19 +1,22 @@
-"""What each role of a fleet costs against its size, measured; and the page that is made of it.
+"""Measures what each role of a fleet costs against the fleet's size, and makes the page docs/CAPACITY.md from it.
 
     .venv/bin/python benchmarks/capacity.py [--fresh] [--parts alone real rest direct aims data] [--small] [--page]
 
-Parts are measured one after the other and written into benchmarks/results/capacity.json, each over what an earlier run
-has left there, or with `--fresh` in place of all of it; with `--page` the tables in docs/CAPACITY.md are made from that
-file, and without parts nothing is measured. Processor time is that of the process (the least of some rounds where code
-is measured alone), so a busy machine disturbs it little; elapsed times of changes need a quiet machine. `--small` takes
-a few minutes.
+Parts are measured one after the other. Each replaces the results of the same part in benchmarks/results/capacity.json;
+with `--fresh`, all earlier results are dropped first. `--page` makes the tables in docs/CAPACITY.md from that file;
+without `--parts` nothing is measured. Processor time is that of the process (the minimum over some rounds where code is
+measured alone), so a busy machine disturbs it little; elapsed times of changes need an idle machine. `--small` takes a
+few minutes.
 
-- alone: requests to a voter and to an aggregator, lists of members, policies, an operator's question, without sockets
+A hollow fleet runs the real control code over TCP with many routers in one process, without a data plane. Parts:
+
+- alone: requests to a voter and to an aggregator, lists of members, policies and an operator's request, without sockets
 - real: `banklift router` processes at rest
-- rest: hollow fleets with aggregators at several sizes, at rest, but for those of the part aims
+- rest: hollow fleets with aggregators at several sizes, at rest, except those measured in the part aims
 - direct: hollow fleets whose routers lease from voters, at rest and with changes
-- aims: rest and changes in hollow fleets with aggregators: with deaths at drawn moments, at a rate, as fast as they go
-- data: processor time of one statement of the router on the platform (benchmarks/service.py)
+- aims: hollow fleets with aggregators at rest, and with changes: while processes are killed at random moments, at the
+  planned rate, and as fast as possible
+- data: processor time of one statement in the router on the platform (benchmarks/service.py)
 """
 
 from __future__ import annotations
@@ -66,45 +69,45 @@
 RESULTS = Path(__file__).with_name("results") / "capacity.json"
 PAGE = ROOT / "docs" / "CAPACITY.md"
 PARTS = ("alone", "real", "rest", "direct", "aims", "data")
-MEMORY_PART = 0.5  # of the machine's memory that real routers may take together
-REAL_MEMORY = 45 * 1024 * 1024  # bytes that one takes, about; how many are started depends on it
+MAX_MEMORY_FRACTION = 0.5  # of the machine's memory, for all real routers together
+REAL_ROUTER_BYTES = 45 * 1024 * 1024  # estimated memory of one, which limits how many are started
 
 
 @dataclass(frozen=True, slots=True)
-class TriedFleet:
-    """A hollow fleet with aggregators on which changes and deaths are tried."""
+class TrialFleet:
+    """The size of a hollow fleet with aggregators in which changes and crashes are measured."""
 
     routers: int
     aggregators: int
-    zones: int  # that share the aggregators evenly
+    zones: int  # the aggregators are spread over them evenly
 
 
-# as many routers an aggregator as planned, and the planned fleet
-TRIED = TriedFleet(1_240, 3, 1), TriedFleet(plan.ROUTERS, plan.AGGREGATORS, 5)
+# A small fleet with as many routers an aggregator as planned, and the planned fleet.
+TRIAL_FLEETS = TrialFleet(1_240, 3, 1), TrialFleet(plan.ROUTERS, plan.AGGREGATORS, 5)
 
 
 @dataclass(frozen=True, slots=True)
 class Scale:
-    """How much is measured."""
-
-    holders: tuple[int, ...] = plan.SIZES
-    members: tuple[int, ...] = plan.LIST_SIZES
-    requests: int = 400
-    policies: tuple[int, ...] = plan.POLICY_SIZES
-    real: tuple[int, ...] = (25, 50, 100, 200)
-    fleets: tuple[int, ...] = plan.FLEET_SIZES
-    direct: tuple[int, ...] = (40, 100, 230, 400)
-    rest: float = 8.0  # seconds that a fleet at rest is watched
-    undisturbed: int = 8  # changes of one series
-    deaths: int = 16  # changes of one series with something killed
-    series_time: float = 45.0  # seconds in which those of one series begin
-    rate_time: float = 120.0  # seconds
-    fastest_time: float = 20.0
-    tried: tuple[TriedFleet, ...] = TRIED
+    """Sizes, numbers of trials and durations of the measurements."""
+
+    holders: tuple[int, ...] = plan.SIZES  # lease holders of one grantor
+    members: tuple[int, ...] = plan.LIST_SIZES  # lengths of lists of members
+    requests: int = 400  # for each length of such a list
+    policies: tuple[int, ...] = plan.POLICY_SIZES  # bytes
+    real: tuple[int, ...] = (25, 50, 100, 200)  # router processes
+    fleets: tuple[int, ...] = plan.FLEET_SIZES  # routers of hollow fleets at rest
+    direct: tuple[int, ...] = (40, 100, 230, 400)  # routers of fleets without aggregators
+    rest_s: float = 8.0  # observation of a fleet at rest
+    undisturbed: int = 8  # changes of a series in which nothing is killed
+    disturbed: int = 16  # changes of a series in which something is killed
+    series_s: float = 45.0  # time in which the changes of one series begin
+    rate_s: float = 120.0  # time of changes at the planned rate
+    fastest_s: float = 20.0  # time of changes as fast as possible
+    trials: tuple[TrialFleet, ...] = TRIAL_FLEETS
     voters: int = plan.VOTERS
-    direct_changes: int = 5
-    aggregator_deaths: int = 3
-    data_seconds: float = 12.0
+    direct_changes: int = 5  # changes of a series in a fleet without aggregators
+    aggregator_deaths: int = 3  # trials
+    data_s: float = 12.0  # time of the load of the part data
 
 
 SMALL = Scale(
@@ -115,42 +118,42 @@
     real=(1, 2, 3, 4),
     fleets=(8, 12, 16, 20),
     direct=(4, 6, 8, 10),
-    rest=1.0,
+    rest_s=1.0,
     undisturbed=1,
-    deaths=1,
-    series_time=30.0,
-    rate_time=4.0,
-    fastest_time=3.0,
-    tried=(TriedFleet(20, 2, 1),),
+    disturbed=1,
+    series_s=30.0,
+    rate_s=4.0,
+    fastest_s=3.0,
+    trials=(TrialFleet(20, 2, 1),),
     voters=3,
     direct_changes=1,
     aggregator_deaths=1,
-    data_seconds=4.0,
+    data_s=4.0,
 )
 
 
 def commit() -> str:
-    """The version that is measured; marked if files differ from it."""
-    told = subprocess.run(
+    """The version of the source as `git describe` names it; ends in "-dirty" if files differ from that commit."""
+    described = subprocess.run(
         ["git", "describe", "--always", "--dirty"], cwd=ROOT, capture_output=True, text=True, check=False
     )
-    return told.stdout.strip()
+    return described.stdout.strip()
 
 
 def flat(group: BaseExceptionGroup[BaseException]) -> list[BaseException]:
-    """The errors of a group, without groups."""
-    found: list[BaseException] = []
-    for one in group.exceptions:
-        found += flat(one) if isinstance(one, BaseExceptionGroup) else [one]
-    return found
+    """The exceptions of a group, with nested groups resolved."""
+    errors: list[BaseException] = []
+    for error in group.exceptions:
+        errors += flat(error) if isinstance(error, BaseExceptionGroup) else [error]
+    return errors
 
 
 class Run:
-    """One run: each figure is written to the file as soon as it is there, so a run that is cut short keeps it."""
+    """One run of the benchmark. Each figure is written to the file at once, so that a run cut short keeps it."""
 
     def __init__(self, path: Path, scale: Scale, given: argparse.Namespace) -> None:
         self.path, self.scale, self.given = path, scale, given
-        self.end: float = time.monotonic() + 60.0 * given.minutes
+        self.ends_at: float = time.monotonic() + 60.0 * given.minutes
         self.results = read(path) if path.exists() else Results()
         if given.fresh:
             self.results = Results(before=self.results.before)
@@ -160,74 +163,79 @@
         write(self.path, self.results)
 
     def part(self, name: str) -> None:
-        """Measure a part, in place of what an earlier run has left of it."""
+        """Measure a part by its name, replacing the notes that an earlier run left about it."""
         print(f"{time.strftime('%H:%M:%S')} {name}", flush=True)
         load = load_average()
-        self._replace(notes=tuple(one for one in self.results.notes if not one.startswith(f"{name}:")))
+        self._replace(notes=tuple(note for note in self.results.notes if not note.startswith(f"{name}:")))
         getattr(self, name)()
         self._replace(machines={**self.results.machines, name: machine(commit(), load)})
 
-    def slopes(self, found: list[Slope]) -> None:
-        """Slopes in place of earlier ones with their keys."""
-        keys = {one.key for one in found}
-        self._replace(slopes=(*(one for one in self.results.slopes if one.key not in keys), *found))
-        for one in found:
+    def add_slopes(self, slopes: list[Slope]) -> None:
+        """Add slopes to the results, replacing earlier ones with the same keys, and print them."""
+        keys = {slope.key for slope in slopes}
+        self._replace(slopes=(*(slope for slope in self.results.slopes if slope.key not in keys), *slopes))
+        for slope in slopes:
             print(
-                f"  {one.role}, {one.what}: {one.form}, residual {one.residual:.2f}; "
-                f"{one.value:.3g} {one.unit} at {one.size:,.0f} {one.against}"
+                f"  {slope.role}, {slope.what}: {slope.form}, residual {slope.residual:.2f}; "
+                f"{slope.value:.3g} {slope.unit} at {slope.size:,.0f} {slope.against}"
             )
 
-    def add(self, field: str, one: Rest | Changes | Death | RealRouter) -> None:
-        """Add it to the results; of one fleet at rest, the last that was measured stays."""
-        earlier = [old for old in getattr(self.results, field) if not self._same_rest(old, one)]
-        self._replace(**{field: (*earlier, one)})
-        print(f"  {one}", flush=True)
+    def add(self, field: str, result: Rest | Changes | Death | RealRouter) -> None:
+        """Add a result to the field of that name and print it. For a fleet at rest it replaces an earlier one."""
+        kept = [old for old in getattr(self.results, field) if not self._is_same_fleet_at_rest(old, result)]
+        self._replace(**{field: (*kept, result)})
+        print(f"  {result}", flush=True)
 
-    def _same_rest(self, old: object, new: object) -> bool:
+    def _is_same_fleet_at_rest(self, old: object, new: object) -> bool:
         if not isinstance(old, Rest) or not isinstance(new, Rest):
             return False
         return (old.routers, old.voters, old.aggregators) == (new.routers, new.voters, new.aggregators)
 
-    def forget_direct(self, field: str) -> None:
-        """Drop what an earlier run found in fleets without aggregators."""
-        kept = tuple(one for one in getattr(self.results, field) if one.aggregators > 0)
+    def drop_direct(self, field: str) -> None:
+        """Drop the results of fleets without aggregators from the field of that name."""
+        kept = tuple(result for result in getattr(self.results, field) if result.aggregators > 0)
         self._replace(**{field: kept})
 
     # ---- without sockets
 
     def alone(self) -> None:
+        """Measure the control code in this process."""
         scale = self.scale
         for tier in Tier:
-            self.slopes(request_slopes(tier, scale.holders))
-        self.slopes(show_slopes(scale.holders))
-        self.slopes(member_slopes(scale.members, scale.requests))
-        self.slopes(policy_slopes(scale.policies))
+            self.add_slopes(request_slopes(tier, scale.holders))
+        self.add_slopes(show_slopes(scale.holders))
+        self.add_slopes(member_slopes(scale.members, scale.requests))
+        self.add_slopes(policy_slopes(scale.policies))
 
     def before(self, path: Path) -> None:
-        """Take over costs that were measured of an older version."""
+        """Add the costs of an older version from a JSON file, for comparison."""
         costs = msgspec.json.decode(path.read_bytes(), type=list[RequestCosts])
         self._replace(before=tuple(slopes_of_requests(Tier.VOTER, costs)))
 
     # ---- real routers
 
     def real(self) -> None:
+        """Measure router processes at rest, for as many as fit into memory."""
         self._replace(real=())
 
         async def measure() -> None:
             with tempfile.TemporaryDirectory() as folder:
                 async with real_fleet(Path(folder)) as fleet:
-                    for size in fits(self.scale.real):
-                        self.add("real", await real_rest(fleet, size, self.scale.rest))
+                    for size in sizes_that_fit(self.scale.real):
+                        self.add("real", await real_rest(fleet, size, self.scale.rest_s))
 
         anyio.run(measure)
-        found = self.results.real
-        points = [(float(one.processes), one.core) for one in found]
+        results = self.results.real
+        points = [(float(result.processes), result.core) for result in results]
         if len(points) > 1:
-            self.slopes([rising("real.core", "router", "real router at rest", "core", How.REAL, points)])
+            self.add_slopes(
+                [slope_by_routers("real.core", "router", "real router at rest", "core", How.REAL, points)]
+            )
 
     # ---- hollow fleets
 
-    def shape(self, fleet: TriedFleet) -> Shape:
+    def shape(self, fleet: TrialFleet) -> Shape:
+        """The hollow fleet of that size, with the leases and processes of the command line."""
         given = self.given
         return Shape(
             fleet.routers,
@@ -240,92 +248,112 @@
             given.per_process,
         )
 
-    def tried(self) -> list[TriedFleet]:
-        """The fleets of the part aims that were asked for."""
+    def selected_trials(self) -> list[TrialFleet]:
+        """The fleets of the part aims that `--routers` selects, or all."""
         sizes = self.given.routers
-        return [one for one in self.scale.tried if not sizes or one.routers in sizes]
+        return [fleet for fleet in self.scale.trials if not sizes or fleet.routers in sizes]
+
+    def run_fleet(
+        self, part: str, shape: Shape, measure: Callable[[HollowFleet, float], Awaitable[None]]
+    ) -> None:
+        """Start a hollow fleet and call `measure` with it and the seconds that its start took.
 
-    def played(self, part: str, shape: Shape, play: Callable[[HollowFleet, float], Awaitable[None]]) -> None:
-        """Start a hollow fleet and play on it. What fails is noted, with what was found before kept."""
+        A failure, or the end of the run's time, adds a note to the results; earlier results stay.
+        """
 
         async def run() -> bool:
-            with anyio.move_on_after(self.left()) as scope, tempfile.TemporaryDirectory() as folder:
+            with anyio.move_on_after(self.remaining_s()) as scope, tempfile.TemporaryDirectory() as folder:
                 async with hollow_fleet(shape, Path(folder)) as fleet:
-                    await play(fleet, await fleet.start())
+                    await measure(fleet, await fleet.start())
             return scope.cancelled_caught
 
-        told = ""
+        reason = ""
         try:
             if anyio.run(run):
-                told = "the time of the run was over"
+                reason = "the time of the run was over"
         except* (Broken, Unreachable, TimeoutError, OSError) as group:
-            told = "; ".join(f"{type(one).__name__} {one}".strip()[:200] for one in flat(group))
-        if told:
-            note = f"{part}: {shape.routers} routers, {shape.aggregators} aggregators: cut short: {told}"
+            reason = "; ".join(f"{type(error).__name__} {error}".strip()[:200] for error in flat(group))
+        if reason:
+            note = f"{part}: {shape.routers} routers, {shape.aggregators} aggregators: cut short: {reason}"
             self._replace(notes=(*self.results.notes, note))
             print(f"  {note}", flush=True)
 
-    def left(self) -> float:
-        """Seconds that this run may still take."""
-        return max(0.0, self.end - time.monotonic())
+    def remaining_s(self) -> float:
+        """Seconds left of the time that `--minutes` allows."""
+        return max(0.0, self.ends_at - time.monotonic())
 
     def rest(self) -> None:
-        async def watch(fleet: HollowFleet, start: float) -> None:
-            self.add("rests", await rest(fleet, self.scale.rest, start))
+        """Measure hollow fleets with aggregators at rest."""
 
-        largest = self.scale.tried[-1]
+        async def measure(fleet: HollowFleet, start: float) -> None:
+            self.add("rests", await rest(fleet, self.scale.rest_s, start))
+
+        largest = self.scale.trials[-1]
         for routers in self.scale.fleets:
-            if routers != largest.routers:  # it is watched before its changes
-                self.played("rest", self.shape(replace(largest, routers=routers)), watch)
-        self.slopes(rest_slopes(self.results, True))
+            if routers != largest.routers:  # the part aims measures that fleet at rest too
+                self.run_fleet("rest", self.shape(replace(largest, routers=routers)), measure)
+        self.add_slopes(rest_slopes(self.results, True))
 
     def direct(self) -> None:
-        self.forget_direct("rests")
-        self.forget_direct("changes")
+        """Measure hollow fleets whose routers lease from the voters, at rest and with changes."""
+        self.drop_direct("rests")
+        self.drop_direct("changes")
 
-        async def watch(fleet: HollowFleet, start: float) -> None:
-            self.add("rests", await rest(fleet, self.scale.rest, start))
+        async def measure(fleet: HollowFleet, start: float) -> None:
+            self.add("rests", await rest(fleet, self.scale.rest_s, start))
             for victim in (Victim.NOBODY, Victim.ROUTER):
                 self.add("changes", await changes(fleet, victim, self.scale.direct_changes, 0.0, 1))
 
         for routers in self.scale.direct:
-            shape = replace(self.shape(TriedFleet(routers, 0, 1)), sub_lease=0.0)
-            self.played("direct", shape, watch)
-        self.slopes(rest_slopes(self.results, False))
+            shape = replace(self.shape(TrialFleet(routers, 0, 1)), sub_lease=0.0)
+            self.run_fleet("direct", shape, measure)
+        self.add_slopes(rest_slopes(self.results, False))
 
     def aims(self) -> None:
-        scale, sizes = self.scale, [one.routers for one in self.tried()]
-        for field in ("changes", "deaths"):  # of these fleets; other sizes are of other runs
-            found = getattr(self.results, field)
-            kept = tuple(one for one in found if not one.aggregators or one.routers not in sizes)
+        """Measure the selected fleets at rest, with changes, and with changes while processes are killed."""
+        scale = self.scale
+        sizes = [fleet.routers for fleet in self.selected_trials()]
+        # Only results of the selected fleets are replaced; those of other sizes come from other runs.
+        for field in ("changes", "deaths"):
+            earlier = getattr(self.results, field)
+            kept = tuple(
+                result for result in earlier if not result.aggregators or result.routers not in sizes
+            )
             self._replace(**{field: kept})
 
         async def series(fleet: HollowFleet, victim: Victim, count: int) -> None:
-            self.add("changes", await changes(fleet, victim, count, 0.0, 2, scale.series_time))
+            self.add("changes", await changes(fleet, victim, count, 0.0, 2, scale.series_s))
 
-        async def play(fleet: HollowFleet, start: float) -> None:
-            self.add("rests", await rest(fleet, scale.rest, start))
+        async def measure(fleet: HollowFleet, start: float) -> None:
+            self.add("rests", await rest(fleet, scale.rest_s, start))
             await series(fleet, Victim.NOBODY, scale.undisturbed)
             self.add("deaths", await death(fleet, scale.aggregator_deaths, 1))
             for victim in (Victim.ROUTER, Victim.ROUTERS, Victim.AGGREGATOR, Victim.LEAVING):
-                await series(fleet, victim, scale.deaths)
-            count, rate = max(2, int(scale.rate_time * plan.CHANGES_A_SECOND)), plan.CHANGES_A_SECOND
-            self.add("changes", await changes(fleet, Victim.NOBODY, count, rate, 3, 1.5 * scale.rate_time))
-            self.add("changes", await changes(fleet, Victim.NOBODY, 1000, FASTEST, 4, scale.fastest_time))
+                await series(fleet, victim, scale.disturbed)
+            rate = plan.CHANGES_A_SECOND
+            count = max(2, int(scale.rate_s * rate))
+            self.add("changes", await changes(fleet, Victim.NOBODY, count, rate, 3, 1.5 * scale.rate_s))
+            self.add(
+                "changes",
+                await changes(fleet, Victim.NOBODY, 1000, FASTEST_CHANGES_PER_S, 4, scale.fastest_s),
+            )
 
-        for one in self.tried():
-            self.played("aims", self.shape(one), play)
-        self.slopes(rest_slopes(self.results, True))
+        for trial in self.selected_trials():
+            self.run_fleet("aims", self.shape(trial), measure)
+        self.add_slopes(rest_slopes(self.results, True))
 
     # ---- the data plane
 
     def data(self) -> None:
-        """A statement on sockets, by the benchmark of the service."""
-        command = [sys.executable, "-m", "benchmarks.service", "--seconds", str(self.scale.data_seconds)]
-        told = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True).stdout
-        quarters = [float(found) / 1e6 for found in re.findall(r": (\d+) us a request", told)]
-        points = [(float(number + 1), cost) for number, cost in enumerate(quarters)]
-        self.slopes(
+        """Measure a statement over sockets with benchmarks/service.py.
+
+        Errors: `subprocess.CalledProcessError` if that benchmark fails.
+        """
+        command = [sys.executable, "-m", "benchmarks.service", "--seconds", str(self.scale.data_s)]
+        output = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True).stdout
+        costs = [float(microseconds) / 1e6 for microseconds in re.findall(r": (\d+) us a request", output)]
+        points = [(float(number + 1), cost) for number, cost in enumerate(costs)]
+        self.add_slopes(
             [
                 fitted(
                     "data.statement",
@@ -341,61 +369,76 @@
         )
 
 
-FASTEST = 1000.0  # changes a second that are asked for where the next one begins as soon as one has ended
+# A rate out of reach: each change begins as soon as the last one has ended.
+FASTEST_CHANGES_PER_S = 1000.0
 
 
-def rising(key: str, role: str, what: str, unit: str, how: How, points: list[tuple[float, float]]) -> Slope:
-    """A slope against routers, up to the planned number."""
+def slope_by_routers(
+    key: str, role: str, what: str, unit: str, how: How, points: list[tuple[float, float]]
+) -> Slope:
+    """A slope against the number of routers, up to the planned number. Errors: `ValueError` below two points."""
     return fitted(key, role, what, unit, "routers", how, points, plan.ROUTERS)
 
 
 def rest_slopes(results: Results, tiered: bool) -> list[Slope]:
-    """Of hollow fleets at rest: what a member of each kind uses against the number of routers. With aggregators, only
-    fleets with as many as the largest one count."""
+    """What a member of each role uses in hollow fleets at rest, against the number of routers.
+
+    `tiered` selects fleets with aggregators or without. Only fleets with as many aggregators as the largest one count.
+    """
     rests = sorted(
-        (one for one in results.rests if (one.aggregators > 0) is tiered), key=lambda one: one.routers
+        (result for result in results.rests if (result.aggregators > 0) is tiered),
+        key=lambda result: result.routers,
     )
-    rests = [one for one in rests if one.aggregators == rests[-1].aggregators]
+    rests = [result for result in rests if result.aggregators == rests[-1].aggregators]
     if len(rests) < 2:
         return []
     tier = "tiered" if tiered else "direct"
-    whom = "aggregators" if tiered else "voters"
-    found = []
+    grantors = "aggregators" if tiered else "voters"
+    slopes = []
     for role in ("router", "voter", "aggregator"):
-        shares = [(float(one.routers), getattr(one, role)) for one in rests if getattr(one, role) is not None]
+        shares = [
+            (float(result.routers), getattr(result, role))
+            for result in rests
+            if getattr(result, role) is not None
+        ]
         if len(shares) < 2:
             continue
         core = [(size, share.core) for size, share in shares]
         traffic = [(size, share.sent + share.received) for size, share in shares]
         memory = [(size, share.memory) for size, share in shares]
-        what = f"at rest, routers lease from {whom}"
-        found += [
-            rising(f"{tier}.{role}.core", role, what, "core", How.HOLLOW, core),
-            rising(
+        what = f"at rest, routers lease from {grantors}"
+        slopes += [
+            slope_by_routers(f"{tier}.{role}.core", role, what, "core", How.HOLLOW, core),
+            slope_by_routers(
                 f"{tier}.{role}.traffic", role, f"sent and received {what}", "bytes/s", How.HOLLOW, traffic
             ),
-            rising(f"{tier}.{role}.memory", role, f"memory {what}", "bytes", How.HOLLOW, memory),
+            slope_by_routers(f"{tier}.{role}.memory", role, f"memory {what}", "bytes", How.HOLLOW, memory),
         ]
-    return found
+    return slopes
 
 
-def fits(sizes: tuple[int, ...]) -> list[int]:
-    """Sizes of which all processes fit into the part of memory."""
-    most = int(MEMORY_PART * machine("", 0.0).memory / REAL_MEMORY)
-    return sorted({min(size, most) for size in sizes})
+def sizes_that_fit(sizes: tuple[int, ...]) -> list[int]:
+    """Numbers of router processes, reduced where needed to as many as fit into `MAX_MEMORY_FRACTION` of memory."""
+    largest = int(MAX_MEMORY_FRACTION * machine("", 0.0).memory / REAL_ROUTER_BYTES)
+    return sorted({min(size, largest) for size in sizes})
 
 
 def main() -> None:
+    """Measure the parts of the command line, add costs of an older version, and make the page, as asked."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("--parts", nargs="*", choices=PARTS, default=())
     parser.add_argument("--small", action="store_true", help="sizes that take seconds")
-    parser.add_argument("--fresh", action="store_true", help="keep nothing but costs of an older version")
+    parser.add_argument(
+        "--fresh", action="store_true", help="drop all earlier results but the costs of an older version"
+    )
     parser.add_argument("--out", type=Path, default=RESULTS)
-    parser.add_argument("--before", type=Path, help="costs of an older version, to stand beside these")
+    parser.add_argument("--before", type=Path, help="file with the costs of an older version, for comparison")
     parser.add_argument("--page", action="store_true", help="make the tables of docs/CAPACITY.md")
-    parser.add_argument("--minutes", type=float, default=60.0, help="after which hollow fleets are cut short")
+    parser.add_argument(
+        "--minutes", type=float, default=60.0, help="time after which hollow fleets are cut short"
+    )
     parser.add_argument("--lease", type=float, default=plan.LEASE)
     parser.add_argument("--sub-lease", type=float, default=plan.SUB_LEASE)
     parser.add_argument("--routers", type=int, nargs="+", help="only these fleets of the part aims, by size")
--- a/benchmarks/days.py
+++ b/benchmarks/days.py
@@ -1,4 +1,7 @@
-"""Every day of trouble on sockets: four router processes, three groups, thousands of sessions; counts kept as a table.
+"""Runs scripted workloads with faults over sockets, judges them, and writes the counts of each to a file.
+
+Each day (a scripted workload, by default every bundled one) runs with four router processes, three groups and thousands
+of client sessions.
 
 .venv/bin/python benchmarks/days.py [--sessions 3000] [--rate 400] [--out benchmarks/results/days.json] [DAY ...]
 """
@@ -21,7 +24,7 @@
 
 
 def three_groups(config: Config) -> Config:
-    """The example's two groups, and a third one made from the last part of their slots."""
+    """The configuration with its two groups, and a third one that takes over the last third of the slots."""
     west, east = config.groups
     members = [
         {"name": f"south-{number}", "address": "127.0.0.1:0", "primary": number == 0} for number in range(3)
@@ -38,6 +41,7 @@
 
 
 def main() -> None:
+    """Run the days of the command line; `--out` is written again after each, so that a run cut short keeps them."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -57,7 +61,8 @@
                 play, day, config, 4, 1, trace, lambda at, text: None, backend_options={"use_uvloop": True}
             )
             head, entries = read(trace)
-        verdict, seen = judge(head, entries), symptoms(head, entries)
+        verdict = judge(head, entries)
+        seen = symptoms(head, entries)
         tallies = verdict.tallies.values()
         rows.append(
             {
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,10 +1,11 @@
-"""What a fleet costs and how long a change takes, in virtual time: no network, no processor, only the protocol.
+"""Time of a policy change and traffic of a fleet at rest, in virtual time: the protocol alone, without network or CPU.
 
     .venv/bin/python benchmarks/fleet.py [--routers 5 40 230] [--seeds 5] [--lease 10] [--keep]
 
-Ways take 1 to 1.5 ms, writes to disk 2 to 8 ms. Routers that are down were killed a moment before the change, so it
-waits for the end of their leases. Prints, for each size and part that is down, seconds from the operator's word to "in
-force" (median and most), and for a fleet at rest messages and bytes a router and a voter a minute.
+A message takes 1 to 1.5 ms one way, a write to disk 2 to 8 ms. Routers that are down were killed just before the
+change, which therefore waits for the end of their leases. Prints, for each size of fleet and number of routers down,
+the seconds from the operator's request to "in force" (median and maximum), and for a fleet at rest the messages a
+minute of a router and of a voter, and the bytes a minute of a router.
 """
 
 from __future__ import annotations
@@ -16,66 +17,72 @@
 
 from banklift.fleet.links import Write
 from banklift.fleet.member import Action
-from banklift.net import fleet as shell
+from banklift.net import fleet as fleet_host
 from banklift.rig.world import FleetWorld
 
-OUT = Path(__file__).with_name("results") / "fleet.json"
+RESULTS_FILE = Path(__file__).with_name("results") / "fleet.json"
+VERSION_WAIT_S = (
+    0.2  # time that the simulated operator's tool waits for the state's version before it asks for a change
+)
 
 
-class Counted:
-    """Counts what is written on links."""
+class TrafficCounter:
+    """Counts the messages and bytes that all hosts write on links, by wrapping `FleetHost.carry`."""
 
     def __init__(self) -> None:
         self.messages = self.bytes = 0
-        real = shell.FleetHost.carry
+        original = fleet_host.FleetHost.carry
 
-        def carry(host: shell.FleetHost, actions: list[Action]) -> None:
+        def carry(host: fleet_host.FleetHost, actions: list[Action]) -> None:
             for action in actions:
                 if isinstance(action, Write):
                     self.messages += 1
                     self.bytes += len(action.data)
-            real(host, actions)
+            original(host, actions)
 
-        shell.FleetHost.carry = carry  # type: ignore[method-assign]
+        fleet_host.FleetHost.carry = carry  # type: ignore[method-assign]
 
 
-def started(seed: int, routers: int, voters: int, lease: float) -> FleetWorld:
+def started_fleet(seed: int, routers: int, voters: int, lease: float) -> FleetWorld:
+    """A fleet in which every router serves. `lease`: seconds."""
     fleet = FleetWorld(seed, routers, voters, lease)
     for name in fleet.names:
         fleet.start(name)
-    fleet.run(1.5 * lease)  # a voter that has started knows of all leases only after that
+    fleet.run(1.5 * lease)  # only then does a voter that has started know of all leases
     assert len(fleet.serving()) == routers
     return fleet
 
 
 def main(sizes: list[int], seeds: int, lease: float) -> dict[str, object]:
-    counted, found = Counted(), {}
+    """Measure fleets of each size with `seeds` seeds. `lease`: seconds. Returns the results by case."""
+    traffic = TrafficCounter()
+    results = {}
     for routers in sizes:
         voters = 3 if routers < 100 else 5
         for down in sorted({0, 1, routers // 10}):
             times = []
             for seed in range(seeds):
-                fleet = started(seed, routers, voters, lease)
+                fleet = started_fleet(seed, routers, voters, lease)
                 for name in fleet.names[routers - down :]:
                     fleet.kill(name)
-                begin = fleet.world.now()
+                started_at = fleet.world.now()
                 assert fleet.change(b"second", patience=3 * lease, seconds=6 * lease) == "in force"
-                times.append(fleet.world.now() - begin - 0.2)  # it looks at the version first
+                times.append(fleet.world.now() - started_at - VERSION_WAIT_S)
                 fleet.run(1.0)
                 assert fleet.breaks == [] and set(fleet.serving().values()) == {2}
-            found[f"{routers} routers, {voters} voters, {down} down"] = {
+            results[f"{routers} routers, {voters} voters, {down} down"] = {
                 "seconds, median": round(statistics.median(times), 2),
                 "seconds, most": round(max(times), 2),
             }
-        fleet = started(1, routers, voters, lease)
-        counted.messages = counted.bytes = 0
+        fleet = started_fleet(1, routers, voters, lease)
+        traffic.messages = traffic.bytes = 0
         fleet.run(60.0)
-        found[f"{routers} routers at rest, a minute"] = {
-            "messages a router": round(counted.messages / routers),
-            "bytes a router": round(counted.bytes / routers),
-            "messages a voter": round(counted.messages / voters),
+        results[f"{routers} routers at rest, a minute"] = {
+            "messages a router": round(traffic.messages / routers),
+            "bytes a router": round(traffic.bytes / routers),
+            "messages a voter": round(traffic.messages / voters),
         }
-    return found
+    return results
 
 
 if __name__ == "__main__":
@@ -90,4 +97,4 @@
     result = main(given.routers, given.seeds, given.lease)
     print(json.dumps(result, indent=1))
     if given.keep:
-        OUT.write_text(json.dumps(result, indent=1) + "\n")
+        RESULTS_FILE.write_text(json.dumps(result, indent=1) + "\n")
--- a/benchmarks/mutate.py
+++ b/benchmarks/mutate.py
@@ -1,12 +1,12 @@
-"""Mutation analysis of the router's own state and decisions: does a test or a judged day notice each small change?
+"""Mutation testing of the router's state and decisions: does a test or a judged workload detect each small change?
 
     .venv/bin/python benchmarks/mutate.py --count 240 --keep
 
-Mutants are made by the syntax tree, one change each, drawn from a seed over `proxy/`, `decide/` and `resp/front.py`:
-comparisons moved or turned round, conditions negated, `and` and `or` exchanged, numbers changed, statements left out,
-`True` and `False` exchanged. Each runs in a copy of the package: first the tests that know these files, then days in
-virtual time under the judge. What survives both is printed with its place: a gap in the tests, or code that earns
-nothing.
+Each mutant has one change to the syntax tree of a file in `FILES`, drawn at random from a seed:
+a comparison inverted or made to include or exclude its bound, a condition negated, `and` and `or` exchanged, a number
+increased by one, a call or an increment left out, `True` and `False` exchanged, `+` and `-` exchanged. A mutant runs in
+a copy of the package: first the tests of these files, then workloads ("days") in virtual time under the judge. A mutant
+that survives both is printed with its line; it shows a gap in the tests, or code without effect.
 """
 
 from __future__ import annotations
@@ -41,8 +41,9 @@
     "tests/test_front.py",
     "tests/test_config.py",
 )
-CLIENTS = "tests/test_clients.py"  # real clients on sockets, for the front's own commands
-PATIENCE = 120.0  # seconds for the tests or the days of one mutant
+CLIENTS = "tests/test_clients.py"  # tests with real clients on sockets; run for mutants of resp/front.py only
+TIMEOUT_S = 120.0  # limit for the tests, and for the days, of one mutant
+# Program that plays workloads in virtual time and exits with an error if a rule is broken or too little is served.
 DAYS = """
 import sys
 import msgspec
@@ -51,7 +52,7 @@
 from banklift.judge.rules import judge
 from banklift.judge.trace import Entry
 
-def look(day, config, routers, seed):
+def play_and_judge(day, config, routers, seed):
     entries: list[Entry] = []
     head = play_virtual(day, config, routers, seed, entries.append)
     verdict = judge(head, sorted(entries, key=lambda entry: entry.t))
@@ -59,16 +60,17 @@
         print("rule", found.rule, found.reason)
     return not verdict.breaks, min(tally.served / tally.tries for tally in verdict.tallies.values())
 
-least = {"short": 0.9, "hang": 0.85, "deploy": 0.4, "discovery_stale": 0.9}  # of each class
-for name, share in least.items():
+# By day: the minimum share of tries that are served, in each class of requests.
+min_served_shares = {"short": 0.9, "hang": 0.85, "deploy": 0.4, "discovery_stale": 0.9}
+for name, min_served_share in min_served_shares.items():
     day, config = load_day(name)
     day = msgspec.structs.replace(day, seconds=min(day.seconds, 8.0))
-    kept, served = look(day, config, 2, 1)
-    if not kept or served < share:
-        sys.exit(f"{name}: kept {kept}, served {served}")
+    rules_kept, served = play_and_judge(day, config, 2, 1)
+    if not rules_kept or served < min_served_share:
+        sys.exit(f"{name}: kept {rules_kept}, served {served}")
 for seed in (69, 163, 191):
-    kept, _ = look(*random_day(seed), seed)
-    if not kept:
+    rules_kept, _ = play_and_judge(*random_day(seed), seed)
+    if not rules_kept:
         sys.exit(f"random day {seed}")
 """
 SWAPS: dict[type[ast.cmpop], type[ast.cmpop]] = {
@@ -85,31 +87,31 @@
 }
 
 
-def sites(tree: ast.Module) -> Iterator[tuple[int, str]]:
-    """Places in walking order that can be changed, and how."""
-    for place, node in enumerate(ast.walk(tree)):
+def mutation_sites(tree: ast.Module) -> Iterator[tuple[int, str]]:
+    """Nodes that can be mutated: the index in the order of `ast.walk`, and the kind of change."""
+    for index, node in enumerate(ast.walk(tree)):
         if isinstance(node, ast.Compare):
-            yield place, "compare"
+            yield index, "compare"
         elif isinstance(node, ast.If | ast.While | ast.IfExp):
-            yield place, "negate"
+            yield index, "negate"
         elif isinstance(node, ast.BoolOp):
-            yield place, "and-or"
+            yield index, "and-or"
         elif isinstance(node, ast.Constant) and type(node.value) in (int, float):
-            yield place, "number"
+            yield index, "number"
         elif isinstance(node, ast.Constant) and type(node.value) is bool:
-            yield place, "flag"
+            yield index, "flag"
         elif (isinstance(node, ast.Expr) and isinstance(node.value, ast.Call)) or isinstance(
             node, ast.AugAssign
         ):
-            yield place, "drop"
+            yield index, "drop"
         elif isinstance(node, ast.BinOp) and isinstance(node.op, ast.Add | ast.Sub):
-            yield place, "plus-minus"
+            yield index, "plus-minus"
 
 
-def mutate(tree: ast.Module, place: int, how: str) -> tuple[ast.Module, int, str]:
-    """A changed copy, the line, and what was changed."""
+def mutate(tree: ast.Module, index: int, how: str) -> tuple[ast.Module, int, str]:
+    """Change the node with this index. Returns the changed copy of the tree, the line, and the change as text."""
     changed = copy.deepcopy(tree)
-    node = list(ast.walk(changed))[place]
+    node = list(ast.walk(changed))[index]
     before = ast.unparse(node)
     line = node.lineno  # type: ignore[attr-defined]
     match node:
@@ -135,38 +137,44 @@
 
 
 def run(folder: Path, command: list[str]) -> str:
-    """Empty if it passed; else its last words."""
+    """Run a Python command in `folder`. Returns "" if it passed, else "timeout" or its last line of output."""
     env = {**os.environ, "PYTHONPATH": str(folder), "PYTHONDONTWRITEBYTECODE": "1"}
     try:
-        done = subprocess.run(
-            [sys.executable, *command], cwd=folder, env=env, timeout=PATIENCE, capture_output=True, text=True
+        finished = subprocess.run(
+            [sys.executable, *command], cwd=folder, env=env, timeout=TIMEOUT_S, capture_output=True, text=True
         )
     except subprocess.TimeoutExpired:
         return "timeout"
-    if done.returncode == 0:
+    if finished.returncode == 0:
         return ""
-    return ((done.stdout + done.stderr).strip().splitlines() or ["?"])[-1][:200]
+    return ((finished.stdout + finished.stderr).strip().splitlines() or ["?"])[-1][:200]
 
 
 def judge_mutant(job: tuple[str, str, int, str]) -> dict[str, object]:
-    """Run one mutant; `end` is tests, days or survived."""
+    """Run one mutant: file name, its changed text, line and change.
+
+    In the result, `end` says what detected it, "tests" or "days", or that it "survived"; `by` is the failure.
+    """
     name, text, line, change = job
-    found: dict[str, object] = {"file": name, "line": line, "change": change.replace("\n", " ")[:200]}
-    with tempfile.TemporaryDirectory(prefix="mutant-") as held:
-        folder = Path(held)
+    result: dict[str, object] = {"file": name, "line": line, "change": change.replace("\n", " ")[:200]}
+    with tempfile.TemporaryDirectory(prefix="mutant-") as folder_name:
+        folder = Path(folder_name)
         for part in ("banklift", "tests"):
             shutil.copytree(ROOT / part, folder / part, ignore=shutil.ignore_patterns("__pycache__"))
         shutil.copy(ROOT / "pyproject.toml", folder)
         (folder / name).write_text(text)
         tests = [*TESTS, CLIENTS] if "front" in name else TESTS
-        said = run(folder, ["-m", "pytest", "-x", "-q", "-p", "no:cacheprovider", "-p", "no:xdist", *tests])
-        if said:
-            return found | {"end": "tests", "by": said}
-        said = run(folder, ["-c", DAYS])
-        return found | ({"end": "days", "by": said} if said else {"end": "survived"})
+        failure = run(
+            folder, ["-m", "pytest", "-x", "-q", "-p", "no:cacheprovider", "-p", "no:xdist", *tests]
+        )
+        if failure:
+            return result | {"end": "tests", "by": failure}
+        failure = run(folder, ["-c", DAYS])
+        return result | ({"end": "days", "by": failure} if failure else {"end": "survived"})
 
 
 def main() -> None:
+    """Draw `--count` mutants, run them in parallel, and print the survivors and the totals."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -176,28 +184,29 @@
     parser.add_argument("--keep", action="store_true", help="write the result beside the others")
     given = parser.parse_args()
     trees = {name: ast.parse((ROOT / name).read_text()) for name in FILES}
-    places = [(name, place, how) for name, tree in trees.items() for place, how in sites(tree)]
+    sites = [(name, index, how) for name, tree in trees.items() for index, how in mutation_sites(tree)]
     jobs = []
-    for name, place, how in Random(given.seed).sample(places, min(given.count, len(places))):
-        tree, line, change = mutate(trees[name], place, how)
+    for name, index, how in Random(given.seed).sample(sites, min(given.count, len(sites))):
+        tree, line, change = mutate(trees[name], index, how)
         jobs.append((name, ast.unparse(tree), line, f"{how}: {change}"))
     with ThreadPoolExecutor(given.workers) as pool:
-        found = sorted(
-            pool.map(judge_mutant, jobs), key=lambda one: (str(one["file"]), int(str(one["line"])))
+        mutants = sorted(
+            pool.map(judge_mutant, jobs), key=lambda mutant: (str(mutant["file"]), int(str(mutant["line"])))
         )
-    ends = Counter(str(one["end"]) for one in found)
-    survivors = [one for one in found if one["end"] == "survived"]
-    for one in survivors:
-        print(f"{one['file']}:{one['line']}: {one['change']}")
-    print(f"{len(places)} places, {len(found)} mutants: {dict(ends)}")
+    ends = Counter(str(mutant["end"]) for mutant in mutants)
+    survivors = [mutant for mutant in mutants if mutant["end"] == "survived"]
+    for mutant in survivors:
+        print(f"{mutant['file']}:{mutant['line']}: {mutant['change']}")
+    print(f"{len(sites)} places, {len(mutants)} mutants: {dict(ends)}")
     if given.keep:
         result = {
-            "places": len(places),
-            "mutants": len(found),
+            "places": len(sites),
+            "mutants": len(mutants),
             "seed": given.seed,
             "ends": dict(ends),
             "by file": {
-                name: dict(Counter(str(one["end"]) for one in found if one["file"] == name)) for name in FILES
+                name: dict(Counter(str(mutant["end"]) for mutant in mutants if mutant["file"] == name))
+                for name in FILES
             },
             "survivors": survivors,
         }
