--- a/banklift/cli/fleet_view.py
+++ b/banklift/cli/fleet_view.py
@@ -97,22 +97,22 @@
 
 
 def _aggregator_trouble(fleet: Fleet, row: AggregatorRow, change: Change | None) -> list[Trouble]:
-    found = []
+    problems = []
     holder = row.holder
     if row.name not in fleet.aggregators:
-        found.append("is not in the fleet table of this file")
+        problems.append("is not in the fleet table of this file")
     if holder is None:
-        found.append("has no lease: no request of it has come")
+        problems.append("has no lease: no request of it has come")
     elif holder.left <= 0:
-        found.append(f"has no lease; last heard of {holder.heard:.1f} s ago")
+        problems.append(f"has no lease; last heard of {holder.heard:.1f} s ago")
     elif holder.heard > MAX_SILENCE_LEASE_FRACTION * fleet.lease:
-        found.append(_silence_text(holder))
+        problems.append(_silence_text(holder))
     if change is not None and row.summary.refused:
-        found.append(f"{row.summary.refused} of its routers refuse change {change.id}")
+        problems.append(f"{row.summary.refused} of its routers refuse change {change.id}")
     if change is not None and row.summary.waiting:
-        found.append(f"{row.summary.waiting} of its routers have not answered change {change.id}")
-    found += row.summary.slowest
-    return [Trouble(row.name, what) for what in found]
+        problems.append(f"{row.summary.waiting} of its routers have not answered change {change.id}")
+    problems += row.summary.slowest
+    return [Trouble(row.name, what) for what in problems]
 
 
 def _reported_trouble(name: str, answer: Shown | NoAnswer | None) -> list[Trouble]:
@@ -139,14 +139,14 @@
 def _router_trouble(fleet: Fleet, holder: Holder, change: Change | None) -> list[Trouble]:
     if holder.left <= 0:
         return []
-    found = []
+    problems = []
     if holder.heard > MAX_SILENCE_LEASE_FRACTION * fleet.lease:
-        found.append(_silence_text(holder))
+        problems.append(_silence_text(holder))
     if change is not None and holder.verdict:
-        found.append(f"refuses change {change.id}: {holder.verdict[0]}")
+        problems.append(f"refuses change {change.id}: {holder.verdict[0]}")
     if change is not None and holder.verdict is None:
-        found.append(f"has not answered change {change.id}")
-    return [Trouble(holder.name, what) for what in found]
+        problems.append(f"has not answered change {change.id}")
+    return [Trouble(holder.name, what) for what in problems]
 
 
 def _silence_text(holder: Holder) -> str:
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -70,7 +70,7 @@
 PAGE = ROOT / "docs" / "CAPACITY.md"
 PARTS = ("alone", "real", "rest", "direct", "aims", "data")
 MAX_MEMORY_FRACTION = 0.5  # of the machine's memory, for all real routers together
-REAL_ROUTER_BYTES = 45 * 1024 * 1024  # estimated memory of one, which limits how many are started
+REAL_ROUTER_BYTES = 45 * 1024 * 1024  # estimated memory of one real router; limits how many are started
 
 
 @dataclass(frozen=True, slots=True)
@@ -140,29 +140,29 @@
     return described.stdout.strip()
 
 
-def flat(group: BaseExceptionGroup[BaseException]) -> list[BaseException]:
+def flatten(group: BaseExceptionGroup[BaseException]) -> list[BaseException]:
     """The exceptions of a group, with nested groups resolved."""
     errors: list[BaseException] = []
     for error in group.exceptions:
-        errors += flat(error) if isinstance(error, BaseExceptionGroup) else [error]
+        errors += flatten(error) if isinstance(error, BaseExceptionGroup) else [error]
     return errors
 
 
 class Run:
     """One run of the benchmark. Each figure is written to the file at once, so that a run cut short keeps it."""
 
-    def __init__(self, path: Path, scale: Scale, given: argparse.Namespace) -> None:
-        self.path, self.scale, self.given = path, scale, given
-        self.ends_at: float = time.monotonic() + 60.0 * given.minutes
+    def __init__(self, path: Path, scale: Scale, args: argparse.Namespace) -> None:
+        self.path, self.scale, self.args = path, scale, args
+        self.ends_at: float = time.monotonic() + 60.0 * args.minutes
         self.results = read(path) if path.exists() else Results()
-        if given.fresh:
+        if args.fresh:
             self.results = Results(before=self.results.before)
 
     def _replace(self, **fields: object) -> None:
         self.results = msgspec.structs.replace(self.results, **fields)
         write(self.path, self.results)
 
-    def part(self, name: str) -> None:
+    def run_part(self, name: str) -> None:
         """Measure a part by its name, replacing the notes that an earlier run left about it."""
         print(f"{time.strftime('%H:%M:%S')} {name}", flush=True)
         load = load_average()
@@ -236,21 +236,21 @@
 
     def shape(self, fleet: TrialFleet) -> Shape:
         """The hollow fleet of that size, with the leases and processes of the command line."""
-        given = self.given
+        args = self.args
         return Shape(
             fleet.routers,
             self.scale.voters,
             fleet.aggregators,
-            given.lease,
-            given.sub_lease,
+            args.lease,
+            args.sub_lease,
             fleet.zones,
             plan.POLICY_USUAL,
-            given.per_process,
+            args.per_process,
         )
 
     def selected_trials(self) -> list[TrialFleet]:
         """The fleets of the part aims that `--routers` selects, or all."""
-        sizes = self.given.routers
+        sizes = self.args.routers
         return [fleet for fleet in self.scale.trials if not sizes or fleet.routers in sizes]
 
     def run_fleet(
@@ -272,7 +272,7 @@
             if anyio.run(run):
                 reason = "the time of the run was over"
         except* (Broken, Unreachable, TimeoutError, OSError) as group:
-            reason = "; ".join(f"{type(error).__name__} {error}".strip()[:200] for error in flat(group))
+            reason = "; ".join(f"{type(error).__name__} {error}".strip()[:200] for error in flatten(group))
         if reason:
             note = f"{part}: {shape.routers} routers, {shape.aggregators} aggregators: cut short: {reason}"
             self._replace(notes=(*self.results.notes, note))
@@ -443,14 +443,14 @@
     parser.add_argument("--sub-lease", type=float, default=plan.SUB_LEASE)
     parser.add_argument("--routers", type=int, nargs="+", help="only these fleets of the part aims, by size")
     parser.add_argument("--per-process", type=int, default=500, help="hollow routers in one process")
-    given = parser.parse_args()
+    args = parser.parse_args()
     grant_descriptors()
-    run = Run(given.out, SMALL if given.small else Scale(), given)
-    for part in given.parts:
-        run.part(part)
-    if given.before is not None:
-        run.before(given.before)
-    if given.page:
+    run = Run(args.out, SMALL if args.small else Scale(), args)
+    for part in args.parts:
+        run.run_part(part)
+    if args.before is not None:
+        run.before(args.before)
+    if args.page:
         PAGE.write_text(capacity_page.filled(PAGE.read_text(), run.results))
 
 
--- a/benchmarks/days.py
+++ b/benchmarks/days.py
@@ -49,11 +49,11 @@
     parser.add_argument("--sessions", type=int, default=3000)
     parser.add_argument("--rate", type=float, default=400)
     parser.add_argument("--out", type=Path, default=Path(__file__).with_name("results") / "days.json")
-    given = parser.parse_args()
+    args = parser.parse_args()
     rows = []
-    for name in given.days or sorted(path.stem for path in DAYS.glob("*.jsonnet")):
+    for name in args.days or sorted(path.stem for path in DAYS.glob("*.jsonnet")):
         day, config = load_day(name)
-        day = msgspec.structs.replace(day, sessions=given.sessions, rate=given.rate, reread=0.9)
+        day = msgspec.structs.replace(day, sessions=args.sessions, rate=args.rate, reread=0.9)
         config = three_groups(config)
         with tempfile.TemporaryDirectory() as folder:
             trace = Path(folder) / "trace"
@@ -67,7 +67,7 @@
         rows.append(
             {
                 "day": name,
-                "sessions": given.sessions,
+                "sessions": args.sessions,
                 "asked": sum(tally.asked for tally in tallies),
                 "served": sum(tally.served for tally in tallies),
                 "refused": sum(tally.refused for tally in tallies),
@@ -88,8 +88,8 @@
             }
         )
         print(json.dumps(rows[-1]), flush=True)
-        given.out.parent.mkdir(exist_ok=True)
-        given.out.write_text("[\n" + ",\n".join(json.dumps(row) for row in rows) + "\n]\n")
+        args.out.parent.mkdir(exist_ok=True)
+        args.out.write_text("[\n" + ",\n".join(json.dumps(row) for row in rows) + "\n]\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -93,8 +93,8 @@
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--lease", type=float, default=10.0)
     parser.add_argument("--keep", action="store_true", help="write the results to benchmarks/results")
-    given = parser.parse_args()
-    result = main(given.routers, given.seeds, given.lease)
+    args = parser.parse_args()
+    result = main(args.routers, args.seeds, args.lease)
     print(json.dumps(result, indent=1))
-    if given.keep:
+    if args.keep:
         RESULTS_FILE.write_text(json.dumps(result, indent=1) + "\n")
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -86,27 +86,27 @@
 
     def reply(self, data: bytes, primary: bool) -> bytes:
         """A member's reply to the commands in `data`: one of each kind, in the order of this loop."""
-        found = b""
+        replies = b""
         for part in ("GET", "APPEND", "INFO", "ROLE"):
             at = data.find(f"\r\n{part}\r\n".encode())
             if at >= 0 and part == "GET":
-                found += b"$1\r\nv\r\n"
+                replies += b"$1\r\nv\r\n"
             elif at >= 0 and part == "APPEND":
-                found += b":1\r\n"
+                replies += b":1\r\n"
             elif at >= 0 and part == "INFO":
                 text = (
                     f"role:{'master' if primary else 'slave'}\r\nmaster_host:m\r\nmaster_port:0\r\n"
                     f"master_link_status:up\r\nslave_repl_offset:5\r\nmaster_replid:{REPLICATION_ID}\r\n"
                     f"master_replid2:{'0' * 40}\r\nmaster_repl_offset:5\r\nsecond_repl_offset:-1"
                 ).encode()
-                found += b"$%d\r\n%b\r\n" % (len(text), text)
+                replies += b"$%d\r\n%b\r\n" % (len(text), text)
             elif at >= 0 and data.find(ROLE) >= 0:
-                found += (
+                replies += (
                     b"*3\r\n$6\r\nmaster\r\n:5\r\n*0\r\n"
                     if primary
                     else b"*5\r\n$5\r\nslave\r\n$1\r\nm\r\n:0\r\n$9\r\nconnected\r\n:5\r\n"
                 )
-        return found
+        return replies
 
     def run_timers(self) -> None:
         """Run the timers that are due."""
@@ -213,8 +213,8 @@
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("--keep", action="store_true", help="write the results to benchmarks/results")
-    given = parser.parse_args()
+    args = parser.parse_args()
     results = measure_times() | measure_memory()
     print(json.dumps(results, indent=1))
-    if given.keep:
+    if args.keep:
         RESULTS_FILE.write_text(json.dumps(results, indent=1) + "\n")
--- a/benchmarks/mutate.py
+++ b/benchmarks/mutate.py
@@ -182,14 +182,14 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--workers", type=int, default=8)
     parser.add_argument("--keep", action="store_true", help="write the result beside the others")
-    given = parser.parse_args()
+    args = parser.parse_args()
     trees = {name: ast.parse((ROOT / name).read_text()) for name in FILES}
     sites = [(name, index, how) for name, tree in trees.items() for index, how in mutation_sites(tree)]
     jobs = []
-    for name, index, how in Random(given.seed).sample(sites, min(given.count, len(sites))):
+    for name, index, how in Random(args.seed).sample(sites, min(args.count, len(sites))):
         tree, line, change = mutate(trees[name], index, how)
         jobs.append((name, ast.unparse(tree), line, f"{how}: {change}"))
-    with ThreadPoolExecutor(given.workers) as pool:
+    with ThreadPoolExecutor(args.workers) as pool:
         mutants = sorted(
             pool.map(judge_mutant, jobs), key=lambda mutant: (str(mutant["file"]), int(str(mutant["line"])))
         )
@@ -198,11 +198,11 @@
     for mutant in survivors:
         print(f"{mutant['file']}:{mutant['line']}: {mutant['change']}")
     print(f"{len(sites)} places, {len(mutants)} mutants: {dict(ends)}")
-    if given.keep:
+    if args.keep:
         result = {
             "places": len(sites),
             "mutants": len(mutants),
-            "seed": given.seed,
+            "seed": args.seed,
             "ends": dict(ends),
             "by file": {
                 name: dict(Counter(str(mutant["end"]) for mutant in mutants if mutant["file"] == name))
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -248,7 +248,7 @@
     parser.add_argument("--seconds", type=float, default=2.0)
     parser.add_argument("--rounds", type=int, default=3)
     parser.add_argument("--out", type=Path, default=Path(__file__).with_name("results") / "relay.json")
-    given = parser.parse_args()
+    args = parser.parse_args()
     member, pipe = start(run_member)
     member_port = pipe.recv()
     relay_process, pipe = start(run_relay, member_port)
@@ -259,13 +259,13 @@
         try:
             for clients, depth in CASES:
                 figures: dict[str, list[tuple[float, float, int]]] = {"router": [], "relay": [], "direct": []}
-                for _ in range(given.rounds):
+                for _ in range(args.rounds):
                     for name, port in (
                         ("router", router_port),
                         ("relay", relay_port),
                         ("direct", member_port),
                     ):
-                        loader, pipe = start(run_load, port, clients, depth, given.seconds)
+                        loader, pipe = start(run_load, port, clients, depth, args.seconds)
                         figures[name].append(pipe.recv())
                         loader.join()
                 rates = {
@@ -300,14 +300,14 @@
     idle, opened = measure_memory()
     result = {
         "machine": f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}",
-        "seconds": given.seconds,
-        "rounds": given.rounds,
+        "seconds": args.seconds,
+        "rounds": args.rounds,
         "cases": rows,
         "bytes for an idle client": round(idle),
         "bytes more for an open request": round(opened),
     }
-    given.out.parent.mkdir(exist_ok=True)
-    given.out.write_text(json.dumps(result, indent=1) + "\n")
+    args.out.parent.mkdir(exist_ok=True)
+    args.out.write_text(json.dumps(result, indent=1) + "\n")
     print(result)
 
 
--- a/benchmarks/service.py
+++ b/benchmarks/service.py
@@ -83,7 +83,7 @@
 }
 
 
-NEW_CONNECTION_INTERVAL = 8  # every so many requests, one uses a new connection
+NEW_CONNECTION_INTERVAL = 8  # one request in this many uses a new connection
 
 
 class ClientConnection(Peer):
@@ -243,5 +243,5 @@
     parser.add_argument("--rate", type=float, default=300.0)
     parser.add_argument("--seconds", type=float, default=16.0)
     parser.add_argument("--profile", default="")
-    given = parser.parse_args()
-    anyio.run(main, given.rate, given.seconds, given.profile)
+    args = parser.parse_args()
+    anyio.run(main, args.rate, args.seconds, args.profile)
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -38,15 +38,15 @@
 
 def category(file: str, name: str) -> str:
     """The category of a function by its file or, for functions without one of these files, by its name."""
-    for part, found in CATEGORIES:
+    for part, name_of_category in CATEGORIES:
         if part in file:
-            return found
+            return name_of_category
     return (
         "I/O" if any(word in name for word in ("socket", "epoll", "Future", "loop")) else "built-in functions"
     )
 
 
-async def profile(given: argparse.Namespace, folder: Path) -> dict[str, object]:
+async def profile(args: argparse.Namespace, folder: Path) -> dict[str, object]:
     """Profile a router in this process under load; member and load run in processes of their own.
 
     Returns the requests a second, and the share of each category in the profiled time.
@@ -61,7 +61,7 @@
         host.tell(build.roster(config, config.groups, 0.0))
         profiler = cProfile.Profile()
         loader, pipe = relay.start(
-            relay.run_load, int(host.address.rpartition(":")[2]), given.clients, given.pipeline, given.seconds
+            relay.run_load, int(host.address.rpartition(":")[2]), args.clients, args.pipeline, args.seconds
         )
         profiler.enable()
         while not pipe.poll():
@@ -76,8 +76,8 @@
         times[category(file, name)] += own_s
     total = sum(times.values())
     return {
-        "clients": given.clients,
-        "pipeline": given.pipeline,
+        "clients": args.clients,
+        "pipeline": args.pipeline,
         "requests a second, profiled": round(rate),
         "refused": refused,
         "shares": {name: round(seconds / total, 2) for name, seconds in times.most_common()},
@@ -92,9 +92,9 @@
     parser.add_argument("--clients", type=int, default=64)
     parser.add_argument("--pipeline", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=4.0)
-    given = parser.parse_args()
+    args = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder:
-        print(json.dumps(anyio.run(profile, given, Path(folder), backend_options={"use_uvloop": True})))
+        print(json.dumps(anyio.run(profile, args, Path(folder), backend_options={"use_uvloop": True})))
 
 
 if __name__ == "__main__":
--- a/tests/test_cli_fleet.py
+++ b/tests/test_cli_fleet.py
@@ -1,4 +1,4 @@
-"""`banklift fleet` and `banklift policy`: what an operator is told, with members that say what the test wants."""
+"""Output and exit codes of `banklift fleet` and `banklift policy`, with fake members that send scripted answers."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 from banklift.proxy.fleet_plan import Aggregator, Fleet
 from tests.fake_members import FakeMember, fake_members, free_address
 
-LEASE = 9.0
+LEASE = 9.0  # seconds
 CHANGE = Change("3-abc", b"{}", 2, "v0", 18.0)
 STATE = State("game", 3, 1, b"{}")
 CHANGING = msgspec.structs.replace(STATE, change=CHANGE)
@@ -70,59 +70,63 @@
     return Shown(state, "v0", "voting", {"v0": True, "v1": True}, holders, trouble)
 
 
-def complaints(seen: FleetView) -> list[str]:
-    return [f"{one.who}: {one.what}" for one in seen.trouble]
+def trouble_lines(fleet_view: FleetView) -> list[str]:
+    return [f"{trouble.who}: {trouble.what}" for trouble in fleet_view.trouble]
 
 
-# ---- what is computed
+# ---- the view that is computed
 
 
-def test_a_fleet_at_rest_has_no_trouble() -> None:
-    seen = view(FLEET, shown(aggregator("a0"), aggregator("a1", routers=200), router("v0"), router("v1")))
-    assert [(row.name, row.zone, row.summary.routers) for row in seen.aggregators] == [
+def test_fleet_at_rest_shows_no_trouble() -> None:
+    fleet_view = view(
+        FLEET, shown(aggregator("a0"), aggregator("a1", routers=200), router("v0"), router("v1"))
+    )
+    assert [(row.name, row.zone, row.summary.routers) for row in fleet_view.aggregators] == [
         ("a0", "north", 300),
         ("a1", "north", 200),
     ]
-    assert [one.name for one in seen.direct] == ["v0", "v1"]
-    assert seen.routers == 502
-    assert seen.trouble == ()
+    assert [holder.name for holder in fleet_view.direct] == ["v0", "v1"]
+    assert fleet_view.routers == 502
+    assert fleet_view.trouble == ()
 
 
-def test_a_fleet_without_aggregators_has_routers_alone() -> None:
+def test_fleet_without_aggregators_shows_only_direct_routers() -> None:
     fleet = Fleet(name="game", voters=FLEET.voters, lease=LEASE)
-    seen = view(fleet, shown(router("v0"), router("r1"), router("r2", left=0.0, heard=60.0)))
-    assert (seen.aggregators, seen.routers, seen.trouble) == ((), 2, ())
-    assert [one.name for one in seen.direct] == ["v0", "r1", "r2"]
+    fleet_view = view(fleet, shown(router("v0"), router("r1"), router("r2", left=0.0, heard=60.0)))
+    assert (fleet_view.aggregators, fleet_view.routers, fleet_view.trouble) == ((), 2, ())
+    assert [holder.name for holder in fleet_view.direct] == ["v0", "r1", "r2"]
 
 
-def test_aggregators_without_a_lease_or_a_link_are_in_trouble() -> None:
-    found = complaints(view(FLEET, shown(aggregator("a0", left=0.0, heard=12.0))))
-    assert found == [
+def test_aggregator_without_lease_or_recent_request_is_reported() -> None:
+    lines = trouble_lines(view(FLEET, shown(aggregator("a0", left=0.0, heard=12.0))))
+    assert lines == [
         "a0: has no lease; last heard of 12.0 s ago",
         "a1: has no lease: no request of it has come",
     ]
     quiet = view(FLEET, shown(aggregator("a0", left=3.0, heard=6.0), aggregator("a1")))
-    assert complaints(quiet) == ["a0: has not been heard of for 6.0 s; its lease ends in 3.0 s"]
+    assert trouble_lines(quiet) == ["a0: has not been heard of for 6.0 s; its lease ends in 3.0 s"]
     assert quiet.routers == 600
 
 
-def test_an_aggregator_without_a_lease_counts_no_routers() -> None:
-    seen = view(FLEET, shown(aggregator("a0", left=0.0, heard=12.0), aggregator("a1")))
-    assert seen.routers == 300
-    assert seen.aggregators[0].summary.routers == 0
+def test_routers_of_aggregator_without_lease_are_not_counted() -> None:
+    fleet_view = view(FLEET, shown(aggregator("a0", left=0.0, heard=12.0), aggregator("a1")))
+    assert fleet_view.routers == 300
+    assert fleet_view.aggregators[0].summary.routers == 0
 
 
-def test_a_restarted_aggregator_is_one_row_and_its_earlier_lease_is_told() -> None:
+def test_restarted_aggregator_has_one_row_and_its_earlier_lease_is_reported() -> None:
     old, new = aggregator("a0", 1, left=5.0, heard=4.0), aggregator("a0", 2, routers=7)
     for holders in ((old, new), (new, old)):
-        seen = view(FLEET, shown(*holders, aggregator("a1")))
-        assert [(row.name, row.summary.routers) for row in seen.aggregators] == [("a0", 7), ("a1", 300)]
-        assert complaints(seen) == ["a0: was restarted; the lease of its earlier process ends in 5.0 s"]
+        fleet_view = view(FLEET, shown(*holders, aggregator("a1")))
+        assert [(row.name, row.summary.routers) for row in fleet_view.aggregators] == [("a0", 7), ("a1", 300)]
+        assert trouble_lines(fleet_view) == [
+            "a0: was restarted; the lease of its earlier process ends in 5.0 s"
+        ]
 
 
-def test_whom_a_change_waits_for() -> None:
+def test_members_that_delay_or_refuse_a_change_are_reported() -> None:
     slowest = ("r17 has not answered for 4.0 s; its lease ends in 2.0 s",)
-    seen = view(
+    fleet_view = view(
         FLEET,
         shown(
             aggregator("a0", waiting=1, slowest=slowest),
@@ -132,7 +136,7 @@
             state=CHANGING,
         ),
     )
-    assert complaints(seen) == [
+    assert trouble_lines(fleet_view) == [
         "a0: 1 of its routers have not answered change 3-abc",
         "a0: r17 has not answered for 4.0 s; its lease ends in 2.0 s",
         "a1: 2 of its routers refuse change 3-abc",
@@ -140,51 +144,57 @@
     ]
 
 
-def test_direct_routers_in_trouble() -> None:
+def test_direct_routers_that_are_silent_or_have_not_answered_are_reported() -> None:
     holders = (
         router("v0"),
         router("v1", verdict=(), heard=7.0, left=2.0),
         router("gone", left=0.0, heard=99.0),
     )
-    seen = view(FLEET, shown(aggregator("a0"), aggregator("a1"), *holders, state=CHANGING))
-    assert complaints(seen) == [
+    fleet_view = view(FLEET, shown(aggregator("a0"), aggregator("a1"), *holders, state=CHANGING))
+    assert trouble_lines(fleet_view) == [
         "v0: has not answered change 3-abc",
         "v1: has not been heard of for 7.0 s; its lease ends in 2.0 s",
     ]
 
 
-def test_trouble_of_voters_comes_first() -> None:
-    told = shown(aggregator("a0"), trouble=(Trouble("v1", "no link"),))
-    assert complaints(view(FLEET, told)) == ["v1: no link", "a1: has no lease: no request of it has come"]
+def test_trouble_reported_by_the_voter_comes_first() -> None:
+    voter_answer = shown(aggregator("a0"), trouble=(Trouble("v1", "no link"),))
+    assert trouble_lines(view(FLEET, voter_answer)) == [
+        "v1: no link",
+        "a1: has no lease: no request of it has come",
+    ]
 
 
-def test_an_aggregator_that_the_file_does_not_name() -> None:
-    seen = view(FLEET, shown(aggregator("a0"), aggregator("a1"), aggregator("a9")))
-    assert [row.name for row in seen.aggregators] == ["a0", "a1", "a9"]
-    assert complaints(seen) == ["a9: is not in the fleet table of this file"]
+def test_aggregator_missing_from_the_file_is_reported() -> None:
+    fleet_view = view(FLEET, shown(aggregator("a0"), aggregator("a1"), aggregator("a9")))
+    assert [row.name for row in fleet_view.aggregators] == ["a0", "a1", "a9"]
+    assert trouble_lines(fleet_view) == ["a9: is not in the fleet table of this file"]
 
 
-def test_a_voter_and_an_aggregator_of_one_name_are_told_apart() -> None:
+def test_voter_and_aggregator_with_the_same_name_are_distinguished() -> None:
     fleet = msgspec.structs.replace(
         FLEET, aggregators={"v0": Aggregator(address="10.0.1.1:7100", zone="north"), **FLEET.aggregators}
     )
-    told = shown(router("v0"), aggregator("v0", routers=5), aggregator("a0"), aggregator("a1"))
-    seen = view(fleet, told)
-    assert [(row.name, row.summary.routers) for row in seen.aggregators] == [
+    voter_answer = shown(router("v0"), aggregator("v0", routers=5), aggregator("a0"), aggregator("a1"))
+    fleet_view = view(fleet, voter_answer)
+    assert [(row.name, row.summary.routers) for row in fleet_view.aggregators] == [
         ("v0", 5),
         ("a0", 300),
         ("a1", 300),
     ]
-    assert [one.name for one in seen.direct] == ["v0"] and seen.trouble == ()
+    assert [holder.name for holder in fleet_view.direct] == ["v0"] and fleet_view.trouble == ()
 
 
-def test_aggregators_that_were_asked() -> None:
-    told = shown(aggregator("a0"), aggregator("a1"))
+def test_answers_of_aggregators_add_routers_and_trouble() -> None:
+    voter_answer = shown(aggregator("a0"), aggregator("a1"))
     trouble = (Trouble("v1", "no link"), Trouble("a0", "no lease of a majority of voters"))
-    own = Shown(STATE, "a0", "aggregator", {}, (router("r1"), router("r2")), trouble)
-    seen = view(FLEET, told, {"a0": own, "a1": NoAnswer("no answer in time")})
-    assert seen.aggregators[0].routers == own.holders and seen.aggregators[1].routers is None
-    assert complaints(seen) == [
+    aggregator_answer = Shown(STATE, "a0", "aggregator", {}, (router("r1"), router("r2")), trouble)
+    fleet_view = view(FLEET, voter_answer, {"a0": aggregator_answer, "a1": NoAnswer("no answer in time")})
+    assert (
+        fleet_view.aggregators[0].routers == aggregator_answer.holders
+        and fleet_view.aggregators[1].routers is None
+    )
+    assert trouble_lines(fleet_view) == [
         "a0: v1: no link",
         "a0: no lease of a majority of voters",
         "a1: can't be asked for its routers: no answer in time",
@@ -195,7 +205,7 @@
 
 
 def write(folder: Path, voters: dict[str, str], aggregators: dict[str, str] | None = None) -> Path:
-    """A router's file of this fleet."""
+    """Write a router's file of this fleet. `voters` and `aggregators`: addresses by name."""
     fleet: dict[str, Any] = {"name": "game", "voters": voters, "lease": LEASE}
     if aggregators:
         fleet["zone"] = "north"
@@ -207,18 +217,21 @@
     return path
 
 
-def says(*answers: Message) -> Any:
-    """The same answers to every message."""
+def always_reply(*answers: Message) -> Any:
+    """A reply function that gives the same answers to every message."""
     return lambda message: list(answers)
 
 
 def run(*arguments: str) -> Any:
+    """Run `banklift` with these arguments, on a terminal wide enough that no table is cut."""
     return CliRunner(env={"COLUMNS": "200"}).invoke(app, list(arguments))
 
 
-def test_tiers_are_shown_in_counts(tmp_path: Path) -> None:
-    told = shown(aggregator("a0", waiting=2), aggregator("a1", routers=41), router("v0", ()), state=CHANGING)
-    with fake_members(v0=says(told)) as members:
+def test_tables_show_voters_aggregators_and_router_counts(tmp_path: Path) -> None:
+    voter_answer = shown(
+        aggregator("a0", waiting=2), aggregator("a1", routers=41), router("v0", ()), state=CHANGING
+    )
+    with fake_members(v0=always_reply(voter_answer)) as members:
         path = write(
             tmp_path,
             {"v0": members["v0"].address},
@@ -246,16 +259,16 @@
     assert isinstance(hello, Hello) and hello.role is Role.OPERATOR and hello.version == VERSION
 
 
-def test_json_keeps_its_keys_and_has_more(tmp_path: Path) -> None:
-    told = shown(aggregator("a0"), router("v0"), trouble=(Trouble("v1", "no link"),))
-    with fake_members(v0=says(told)) as members:
+def test_json_output_has_the_expected_keys(tmp_path: Path) -> None:
+    voter_answer = shown(aggregator("a0"), router("v0"), trouble=(Trouble("v1", "no link"),))
+    with fake_members(v0=always_reply(voter_answer)) as members:
         path = write(tmp_path, {"v0": members["v0"].address}, {"a0": "127.0.0.1:9000"})
         result = run("fleet", "--config", str(path), "--json")
     assert result.exit_code == 0
-    found = json.loads(result.stdout)
-    assert (found["state"]["version"], found["voter"], found["standing"]) == (3, "v0", "voting")
-    assert found["voters"] == {"v0": True, "v1": True}
-    assert found["holders"][1] == {
+    output = json.loads(result.stdout)
+    assert (output["state"]["version"], output["voter"], output["standing"]) == (3, "v0", "voting")
+    assert output["voters"] == {"v0": True, "v1": True}
+    assert output["holders"][1] == {
         "name": "v0",
         "incarnation": 1,
         "epoch": 1,
@@ -264,10 +277,10 @@
         "left": 8.0,
         "summary": None,
     }
-    assert found["holders"][0]["summary"]["routers"] == 300
-    assert found["trouble"] == [{"who": "v1", "what": "no link"}]
-    assert (found["routers"], found["direct"], found["routers_of"]) == (301, ["v0"], {})
-    assert found["aggregators"] == [
+    assert output["holders"][0]["summary"]["routers"] == 300
+    assert output["trouble"] == [{"who": "v1", "what": "no link"}]
+    assert (output["routers"], output["direct"], output["routers_of"]) == (301, ["v0"], {})
+    assert output["aggregators"] == [
         {
             "name": "a0",
             "zone": "north",
@@ -284,28 +297,28 @@
     ]
 
 
-def test_routers_are_listed_by_asking_each_aggregator(tmp_path: Path) -> None:
-    told = shown(aggregator("a0", routers=1), aggregator("a1"))
-    own = Shown(STATE, "a0", "aggregator", {}, (router("r1"),), ())
+def test_routers_option_lists_the_routers_of_each_aggregator(tmp_path: Path) -> None:
+    voter_answer = shown(aggregator("a0", routers=1), aggregator("a1"))
+    aggregator_answer = Shown(STATE, "a0", "aggregator", {}, (router("r1"),), ())
     gone = free_address()
-    with fake_members(v0=says(told), a0=says(own)) as members:
+    with fake_members(v0=always_reply(voter_answer), a0=always_reply(aggregator_answer)) as members:
         path = write(tmp_path, {"v0": members["v0"].address}, {"a0": members["a0"].address, "a1": gone})
         as_json = run("fleet", "--config", str(path), "--routers", "--json")
         table = run("fleet", "--config", str(path), "--routers")
         assert Show() in members["a0"].heard
     assert (as_json.exit_code, table.exit_code) == (0, 0)
-    found = json.loads(as_json.stdout)
-    assert list(found["routers_of"]) == ["a0"]
-    assert [one["name"] for one in found["routers_of"]["a0"]] == ["r1"]
-    assert [one["who"] for one in found["trouble"]] == ["a1"]
-    assert found["trouble"][0]["what"].startswith("can't be asked for its routers: ")
+    output = json.loads(as_json.stdout)
+    assert list(output["routers_of"]) == ["a0"]
+    assert [holder["name"] for holder in output["routers_of"]["a0"]] == ["r1"]
+    assert [trouble["who"] for trouble in output["trouble"]] == ["a1"]
+    assert output["trouble"][0]["what"].startswith("can't be asked for its routers: ")
     assert "routers of a0" in table.stdout and "r1" in table.stdout
     assert "in trouble: a1: can't be asked for its routers: " in table.stdout
 
 
-def test_thousands_of_direct_routers_are_counted(tmp_path: Path) -> None:
-    told = shown(*(router(f"r{number}") for number in range(2000)))
-    with fake_members(v0=says(told)) as members:
+def test_long_list_of_direct_routers_is_cut_unless_all_are_requested(tmp_path: Path) -> None:
+    voter_answer = shown(*(router(f"r{number}") for number in range(2000)))
+    with fake_members(v0=always_reply(voter_answer)) as members:
         path = write(tmp_path, {"v0": members["v0"].address})
         short = run("fleet", "--config", str(path))
         whole = run("fleet", "--config", str(path), "--routers")
@@ -315,8 +328,8 @@
     assert "r1999 " in whole.stdout and "more: --routers" not in whole.stdout
 
 
-def test_members_that_never_answer_cost_bounded_time() -> None:
-    silent = [FakeMember(f"a{number}", says(), silent=True) for number in range(3)]
+def test_request_to_members_that_never_answer_times_out() -> None:
+    silent = [FakeMember(f"a{number}", always_reply(), silent=True) for number in range(3)]
     try:
         addresses = {f"a{number}": member.address for number, member in enumerate(silent)}
         assert anyio.run(show_each, addresses, "game", 0.2) == {
@@ -327,7 +340,7 @@
             member.close()
 
 
-def test_no_voter_answers(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_commands_exit_with_3_if_no_voter_answers(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(fleet_client, "SHOW_TIMEOUT_S", 0.5)
     path = write(tmp_path, {"v0": free_address()})
     for command in (["fleet"], ["policy", "show"], ["policy", "history"]):
@@ -335,23 +348,27 @@
         assert result.exit_code == 3 and result.stderr.startswith("no voter answers: v0: ")
 
 
-def test_a_voter_without_the_state_is_passed_over(tmp_path: Path) -> None:
-    with fake_members(v0=says(shown(state=None)), v1=says(shown())) as members:
+def test_voter_without_the_state_is_skipped(tmp_path: Path) -> None:
+    with fake_members(v0=always_reply(shown(state=None)), v1=always_reply(shown())) as members:
         path = write(tmp_path, {name: member.address for name, member in members.items()})
         result = run("policy", "show", "--config", str(path))
     assert result.exit_code == 0 and json.loads(result.stdout)["epoch"] == STATE.epoch
 
 
-def test_no_voter_has_the_state_yet(tmp_path: Path) -> None:
-    with fake_members(v0=says(shown(state=None)), v1=says(shown(state=None))) as members:
+def test_policy_show_exits_with_3_if_no_voter_has_the_state(tmp_path: Path) -> None:
+    with fake_members(v0=always_reply(shown(state=None)), v1=always_reply(shown(state=None))) as members:
         path = write(tmp_path, {name: member.address for name, member in members.items()})
         result = run("policy", "show", "--config", str(path))
     assert (result.exit_code, result.stderr) == (3, "this fleet has no policy yet\n")
 
 
-def test_a_voter_that_turns_the_tool_away_says_why(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_reason_of_a_voter_that_refuses_the_connection_is_printed(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(fleet_client, "SHOW_TIMEOUT_S", 0.5)
-    member = FakeMember("v0", says(), greeting=Bye("version 2 of the fleet's messages, here it is 1", True))
+    member = FakeMember(
+        "v0", always_reply(), greeting=Bye("version 2 of the fleet's messages, here it is 1", True)
+    )
     try:
         result = run("fleet", "--config", str(write(tmp_path, {"v0": member.address})))
     finally:
@@ -360,7 +377,7 @@
     assert "v0: version 2 of the fleet's messages, here it is 1" in result.stderr
 
 
-def test_a_file_without_a_fleet(tmp_path: Path) -> None:
+def test_file_without_a_fleet_table_is_refused(tmp_path: Path) -> None:
     result = run("fleet", "--config", str(EXAMPLE))
     assert (result.exit_code, result.stderr) == (2, f"{EXAMPLE}: $.fleet: this file has no fleet\n")
 
@@ -369,10 +386,11 @@
 
 
 def policy_file(folder: Path) -> Path:
+    """Write the policy of the example configuration."""
     content = json.loads(evaluate(EXAMPLE))
-    kept = ("classes", "routes", "default_read", "default_write")
+    policy_keys = ("classes", "routes", "default_read", "default_write")
     path = folder / "policy.json"
-    path.write_text(json.dumps({key: content[key] for key in kept if key in content}))
+    path.write_text(json.dumps({key: content[key] for key in policy_keys if key in content}))
     return path
 
 
@@ -394,7 +412,9 @@
     ],
     ids=["in-force", "aborted", "not-made"],
 )
-def test_how_a_change_ends(tmp_path: Path, answer: Message, code: int, out: str, errors: str) -> None:
+def test_policy_set_prints_progress_and_outcome(
+    tmp_path: Path, answer: Message, code: int, out: str, errors: str
+) -> None:
     waiting = ("r17 has not answered for 1.0 s", "r18 has not answered for 1.0 s")
     progress = [
         Progress("3-abc", "checking", waiting),
@@ -408,17 +428,17 @@
     with fake_members(v0=reply) as members:
         path = write(tmp_path, {"v0": members["v0"].address})
         result = run("policy", "set", str(policy_file(tmp_path)), "--config", str(path))
-        asked = [one for one in members["v0"].heard if isinstance(one, Set)]
+        requests = [message for message in members["v0"].heard if isinstance(message, Set)]
     assert (result.exit_code, result.stdout) == (code, out)
     assert result.stderr.endswith("checking: r17 has not answered for 1.0 s (and 1 more)\nagreed\n" + errors)
-    assert [(one.change.partition("-")[0], one.patience, one.dry) for one in asked] == [
+    assert [(request.change.partition("-")[0], request.patience, request.dry) for request in requests] == [
         ("3", 2 * LEASE, False)
     ]
 
 
-def test_a_voter_that_does_not_vote_is_passed_over(tmp_path: Path) -> None:
-    resting = NotProposed("3-abc", "voter v0 does not vote: it waits for v1", True)
-    with fake_members(v0=says(resting), v1=says(ended(Result.FINE))) as members:
+def test_voter_that_does_not_vote_is_skipped(tmp_path: Path) -> None:
+    not_voting = NotProposed("3-abc", "voter v0 does not vote: it waits for v1", True)
+    with fake_members(v0=always_reply(not_voting), v1=always_reply(ended(Result.FINE))) as members:
         path = write(tmp_path, {name: member.address for name, member in members.items()})
         arguments = (
             "policy",
--- a/tests/test_fleet_daemon.py
+++ b/tests/test_fleet_daemon.py
@@ -1,4 +1,4 @@
-"""Routers and aggregators as processes: what they say at their start and end, and the leases that they give back."""
+"""Routers and aggregators as processes: their output at start, their exit codes, and the leases that they release."""
 
 from __future__ import annotations
 
@@ -31,13 +31,12 @@
 from banklift.proxy.fleet_plan import Aggregator, Fleet
 from tests.fake_members import free_address
 
-LEASE = 120.0  # seconds: longer than any of these tests, so a lease that has ended was given back
+# Leases in seconds, longer than any of these tests, so that a lease that has ended was released.
+LEASE = 120.0
 SUB_LEASE = 90.0
-PATIENCE = (
-    60.0  # seconds that anything may take on a busy machine; less than two thirds of a lease or sub-lease
-)
-BAD = 2  # exit code of a file, or of a member, that is refused
-FAILED = 1
+TIMEOUT_S = 60.0  # limit of any step on a busy machine; less than two thirds of a lease or sub-lease
+BAD_FILE = 2  # exit code of a file, or of a member, that is refused
+FAILED = 1  # exit code of a process that could not run
 
 # ---- plans
 
@@ -57,7 +56,7 @@
 )
 
 
-def test_a_router_prefers_aggregators_of_its_zone() -> None:
+def test_router_prefers_aggregators_of_its_zone() -> None:
     plan = router_plan("r7", FLEET)
     assert plan.aggregators == choose("r7", candidates(FLEET)) and len(plan.aggregators) == 2
     assert set(plan.aggregators) <= {"a0", "a1", "a2"}
@@ -82,8 +81,11 @@
     assert (direct.aggregators, direct.sub_lease) == ((), 0.0)
 
 
-def test_where_an_aggregator_listens() -> None:
-    """`listen` goes over the table; in the file of a voter that is an aggregator too, it is the voter's."""
+def test_listening_address_of_an_aggregator() -> None:
+    """`listen` overrides the address in the table, except in the file of a voter that is also an aggregator.
+
+    There, `listen` is the address of the voter.
+    """
     assert listening_address("a0", FLEET) == "0.0.0.0:7100"
     both = Fleet(
         name="game", voters={"a0": "10.0.0.1:7000"}, aggregators=FLEET.aggregators, listen="0.0.0.0:7000"
@@ -95,7 +97,7 @@
 
 
 class RecordingHandle:
-    """A connection that notes what is done with it."""
+    """A connection that records the calls made on it in `notes`."""
 
     source = ""
 
@@ -120,7 +122,7 @@
 
 
 class RecordingEnv:
-    """Surroundings whose clock stands still, and in which every connection is up at once."""
+    """An environment with a stopped clock and without timers, which keeps the peer and handle of each connection."""
 
     def __init__(self) -> None:
         self.notes: list[str] = []
@@ -142,8 +144,11 @@
         return self.handles[address]
 
 
-def test_leaving_stops_the_router_before_it_gives_its_leases_back() -> None:
-    """Only links on which something was given back are waited for; nothing is done after that."""
+def test_leaving_stops_admission_before_releasing_leases() -> None:
+    """A router that leaves waits only for links on which it released a lease, and sends nothing afterwards.
+
+    If it released its leases first, it would serve requests for a moment without a lease.
+    """
     env = RecordingEnv()
     plan = Plan("game", "r7", ("v0", "v1", "v2"), 9.0, 0.01)
     node = Node(plan, 1, 1, b"{}", lambda text: ())
@@ -163,7 +168,7 @@
         env.peers[name].up(env.handles[name])
         env.peers[name].data(encode(Hello(VERSION, "game", name, 1, plan.voters, 9.0, 0.0)))
     env.notes.clear()
-    told = host.leave()
+    waited_for = host.leave()
     assert env.notes == [
         "until -inf",
         "v0: LeaseRelease",
@@ -171,20 +176,21 @@
         "v0: finish",
         "v1: finish",
     ]
-    assert told == [env.handles["v0"], env.handles["v1"]]
+    assert waited_for == [env.handles["v0"], env.handles["v1"]]
     env.notes.clear()
     env.peers["v0"].data(encode(RenewNow()))
     env.peers["v2"].lost("refused")
     assert host.leave() == []
-    assert env.notes == ["v2: close"]  # a connection that is lost is closed; nothing is said or made anew
+    # The lost connection is closed; nothing is sent, and no connection is made again.
+    assert env.notes == ["v2: close"]
 
 
-def nothing(*arguments: Any) -> None:
+def do_nothing(*arguments: Any) -> None:
     return
 
 
-def test_leaving_is_bounded_where_the_other_end_never_closes() -> None:
-    """The other end takes the connection and nothing more; the wait ends all the same."""
+def test_leaving_ends_although_the_other_end_never_closes() -> None:
+    """The other end accepts the connection and never reads or closes it. Without a limit, leaving would hang."""
 
     async def main() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -194,10 +200,18 @@
                 node = Node(Plan("game", "r7", ("v0",), LEASE, 0.01), 1, 1, b"{}", lambda text: ())
                 node.leave = lambda now: [Write(1, b"given back")]  # type: ignore[method-assign]
                 host = FleetHost(
-                    env, node, {"v0": address}, None, nothing, nothing, nothing, nothing, nothing
+                    env,
+                    node,
+                    {"v0": address},
+                    None,
+                    do_nothing,
+                    do_nothing,
+                    do_nothing,
+                    do_nothing,
+                    do_nothing,
                 )
                 host.start()
-                with anyio.fail_after(PATIENCE):
+                with anyio.fail_after(TIMEOUT_S):
                     other, _ = await anyio.to_thread.run_sync(listener.accept)
                     await leave(host, env)
                 other.close()
@@ -219,14 +233,15 @@
         self.aggregators = {name: free_address() for name in ("a0", "a1")}
 
     def file(self, name: str, **fleet: Any) -> Path:
-        """A router's file by that name; `fleet`: changes to its table."""
+        """Write a router's file by that name. `fleet`: entries of its fleet table that differ from the usual ones."""
         table = {
             "name": "game",
             "voters": {"v0": self.voter},
             "lease": LEASE,
             "sub_lease": SUB_LEASE,
             "aggregators": {
-                one: {"address": address, "zone": "north"} for one, address in self.aggregators.items()
+                aggregator: {"address": address, "zone": "north"}
+                for aggregator, address in self.aggregators.items()
             },
             "zone": "north",
             "folder": f"{name}.state",
@@ -238,7 +253,7 @@
         return path
 
     async def start(self, command: str, name: str, path: Path | None = None) -> dict[str, Any]:
-        """Start one and wait for its line of JSON."""
+        """Start a router or an aggregator and return the line of JSON that it prints once it listens."""
         with self.log(name).open("ab") as errors:
             process = await anyio.open_process(
                 [sys.executable, "-m", "banklift", command, "--config", str(path or self.file(name))],
@@ -247,49 +262,54 @@
         self.running[name] = process
         assert process.stdout is not None
         line = b""
-        with anyio.fail_after(PATIENCE):
+        with anyio.fail_after(TIMEOUT_S):
             while not line.endswith(b"\n"):
                 line += await process.stdout.receive()
-        said: dict[str, Any] = json.loads(line)
-        return said
+        announced: dict[str, Any] = json.loads(line)
+        return announced
 
     def log(self, name: str) -> Path:
+        """The file with the standard error of a process."""
         return self.folder / f"{name}.log"
 
-    async def end(self, name: str, number: signal.Signals = signal.SIGTERM) -> int:
-        """Its exit code."""
+    async def stop(self, name: str, number: signal.Signals = signal.SIGTERM) -> int:
+        """Send a signal to a process and wait for its end. Returns its exit code."""
         self.running[name].send_signal(number)
-        with anyio.fail_after(PATIENCE):
+        with anyio.fail_after(TIMEOUT_S):
             return await self.running[name].wait()
 
-    async def refused(self, command: str, path: Path) -> tuple[int, str]:
-        """Exit code and last words of one that ends by itself, however late."""
-        with anyio.fail_after(PATIENCE):
-            done = await anyio.run_process(
+    async def run_to_end(self, command: str, path: Path) -> tuple[int, str]:
+        """Run a process that ends by itself. Returns its exit code and standard error."""
+        with anyio.fail_after(TIMEOUT_S):
+            completed = await anyio.run_process(
                 [sys.executable, "-m", "banklift", command, "--config", str(path)], check=False
             )
-        return done.returncode, done.stderr.decode()
+        return completed.returncode, completed.stderr.decode()
 
     async def fleet(self) -> dict[str, Any]:
-        """`banklift fleet --routers --json`."""
+        """The output of `banklift fleet --routers --json`."""
         command = [sys.executable, "-m", "banklift", "fleet", "--json", "--routers", "--config"]
-        with anyio.fail_after(PATIENCE):
-            done = await anyio.run_process([*command, str(self.file("r0"))], check=False)
-        assert done.returncode == 0, done.stderr.decode()
-        found: dict[str, Any] = json.loads(done.stdout)
-        return found
-
-    async def until(self, true: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
-        """Ask `banklift fleet` until it shows what is waited for."""
-        found: dict[str, Any] = {}
-        with anyio.move_on_after(PATIENCE):
-            while not true(found := await self.fleet()):
+        with anyio.fail_after(TIMEOUT_S):
+            completed = await anyio.run_process([*command, str(self.file("r0"))], check=False)
+        assert completed.returncode == 0, completed.stderr.decode()
+        shown: dict[str, Any] = json.loads(completed.stdout)
+        return shown
+
+    async def wait_until(self, condition: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
+        """Run `banklift fleet` until `condition` holds for its output, and return that.
+
+        Errors: `AssertionError` with the last output and the logs, after `TIMEOUT_S`.
+        """
+        shown: dict[str, Any] = {}
+        with anyio.move_on_after(TIMEOUT_S):
+            while not condition(shown := await self.fleet()):
                 await anyio.sleep(0.05)
-            return found
+            return shown
         logs = "\n".join(f"{name}:\n{self.log(name).read_text()[-2000:]}" for name in self.running)
-        raise AssertionError(f"{json.dumps(found)}\n{logs}")
+        raise AssertionError(f"{json.dumps(shown)}\n{logs}")
 
     async def close(self) -> None:
+        """Kill the processes that still run."""
         for process in self.running.values():
             if process.returncode is None:
                 process.kill()
@@ -299,24 +319,27 @@
 
 @asynccontextmanager
 async def processes(folder: Path) -> AsyncIterator[Processes]:
-    found = Processes(folder)
+    """Processes that are killed at the end of the context."""
+    fleet = Processes(folder)
     try:
-        yield found
+        yield fleet
     finally:
         with anyio.CancelScope(shield=True):
-            await found.close()
+            await fleet.close()
 
 
-def play(folder: Path, act: Callable[[Processes], Awaitable[None]]) -> None:
+def run_scenario(folder: Path, scenario: Callable[[Processes], Awaitable[None]]) -> None:
+    """Run a scenario on processes with their files in `folder`."""
+
     async def main() -> None:
-        async with processes(folder) as found:
-            await act(found)
+        async with processes(folder) as fleet:
+            await scenario(fleet)
 
     anyio.run(main)
 
 
 def sub_leases(shown: dict[str, Any]) -> set[tuple[str, str]]:
-    """Routers, each with an aggregator that it has a live sub-lease from."""
+    """Pairs of a router and an aggregator from which it holds a live sub-lease."""
     return {
         (router["name"], aggregator)
         for aggregator, routers in shown["routers_of"].items()
@@ -325,36 +348,36 @@
     }
 
 
-def with_lease(shown: dict[str, Any]) -> set[str]:
-    """Aggregators that have a lease of the voter."""
-    return {one["name"] for one in shown["aggregators"] if one["left"] > 0}
+def aggregators_with_lease(shown: dict[str, Any]) -> set[str]:
+    """Aggregators that hold a live lease from the voter."""
+    return {aggregator["name"] for aggregator in shown["aggregators"] if aggregator["left"] > 0}
 
 
-def test_a_router_on_aggregators_gives_its_sub_lease_back(tmp_path: Path) -> None:
-    """A whole small fleet, each process by its own command. Leases outlast the test: what has ended was given back."""
+def test_router_that_leases_from_aggregators_releases_its_sub_lease(tmp_path: Path) -> None:
+    """A small fleet, each process started by its own command. A lease that ends within the test was released."""
 
-    async def act(fleet: Processes) -> None:
+    async def scenario(fleet: Processes) -> None:
         await fleet.start("router", "v0")
-        said = {name: await fleet.start("aggregator", name) for name in fleet.aggregators}
-        assert said == {
+        announced = {name: await fleet.start("aggregator", name) for name in fleet.aggregators}
+        assert announced == {
             name: {"aggregator": name, "listening": address} for name, address in fleet.aggregators.items()
         }
-        await fleet.until(lambda shown: with_lease(shown) == {"a0", "a1"})
+        await fleet.wait_until(lambda shown: aggregators_with_lease(shown) == {"a0", "a1"})
         await fleet.start("router", "r0")
         preferred = choose("r0", candidates_of(fleet))[0]
-        shown = await fleet.until(lambda shown: sub_leases(shown) == {("r0", preferred)})
-        assert with_lease(shown) == {"a0", "a1"}
-        assert shown["direct"] == ["v0"]  # a voter leases from the voters
+        shown = await fleet.wait_until(lambda shown: sub_leases(shown) == {("r0", preferred)})
+        assert aggregators_with_lease(shown) == {"a0", "a1"}
+        assert shown["direct"] == ["v0"]  # a voter leases from the voters, not from aggregators
 
-        assert await fleet.end("r0") == 0
-        await fleet.until(lambda shown: not sub_leases(shown) and len(shown["routers_of"]) == 2)
+        assert await fleet.stop("r0") == 0
+        await fleet.wait_until(lambda shown: not sub_leases(shown) and len(shown["routers_of"]) == 2)
         assert '"event": "stopping"' in fleet.log("r0").read_text()
 
         for name, number in (("a0", signal.SIGTERM), ("a1", signal.SIGINT)):
-            assert await fleet.end(name, number) == 0
+            assert await fleet.stop(name, number) == 0
             assert '"event": "stopping"' in fleet.log(name).read_text()
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, scenario)
 
 
 def candidates_of(fleet: Processes) -> Any:
@@ -370,15 +393,17 @@
     )
 
 
-def test_a_router_on_voters_gives_its_lease_back_and_a_killed_one_does_not(tmp_path: Path) -> None:
-    async def act(fleet: Processes) -> None:
+def test_router_that_leases_from_voters_releases_its_lease_unless_it_is_killed(tmp_path: Path) -> None:
+    async def scenario(fleet: Processes) -> None:
         direct: dict[str, Any] = {"aggregators": {}, "zone": None, "sub_lease": None}
         await fleet.start("router", "v0", fleet.file("v0", **direct))
         for name in ("r1", "r2"):
             await fleet.start("router", name, fleet.file(name, **direct))
 
         def left(shown: dict[str, Any], name: str) -> float:
-            return max((float(one["left"]) for one in shown["holders"] if one["name"] == name), default=0.0)
+            return max(
+                (float(holder["left"]) for holder in shown["holders"] if holder["name"] == name), default=0.0
+            )
 
         original = fleet.file
 
@@ -386,57 +411,59 @@
             return original(name, **{**direct, **changes})
 
         fleet.file = file  # type: ignore[method-assign]
-        await fleet.until(lambda shown: left(shown, "r1") > 0 and left(shown, "r2") > 0)
-        assert await fleet.end("r1") == 0
-        assert await fleet.end("r2", signal.SIGKILL) == -signal.SIGKILL
-        shown = await fleet.until(lambda shown: left(shown, "r1") == 0)
-        assert left(shown, "r2") > 0  # it may be alive for all that anybody knows
+        await fleet.wait_until(lambda shown: left(shown, "r1") > 0 and left(shown, "r2") > 0)
+        assert await fleet.stop("r1") == 0
+        assert await fleet.stop("r2", signal.SIGKILL) == -signal.SIGKILL
+        shown = await fleet.wait_until(lambda shown: left(shown, "r1") == 0)
+        assert left(shown, "r2") > 0  # the voter cannot know that the process is dead
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, scenario)
 
 
-def test_an_aggregator_of_another_lease_is_turned_away(tmp_path: Path) -> None:
-    async def act(fleet: Processes) -> None:
+def test_aggregator_with_a_different_sub_lease_is_refused(tmp_path: Path) -> None:
+    async def scenario(fleet: Processes) -> None:
         await fleet.start("router", "v0")
-        code, text = await fleet.refused("aggregator", fleet.file("a0", sub_lease=60.0))
-        assert code == BAD
+        code, text = await fleet.run_to_end("aggregator", fleet.file("a0", sub_lease=60.0))
+        assert code == BAD_FILE
         assert "banklift aggregator: v0: fleet.sub_lease: " in text, text
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, scenario)
 
 
-def test_two_aggregators_of_one_name(tmp_path: Path) -> None:
-    async def act(fleet: Processes) -> None:
+def test_second_aggregator_with_the_same_name_is_refused(tmp_path: Path) -> None:
+    async def scenario(fleet: Processes) -> None:
         await fleet.start("router", "v0")
         await fleet.start("aggregator", "a0")
-        await fleet.until(lambda shown: any(one["left"] > 0 for one in shown["aggregators"]))
-        code, text = await fleet.refused("aggregator", fleet.file("a0", listen="127.0.0.1:0"))
-        assert code == BAD and "is here already" in text, text
+        await fleet.wait_until(
+            lambda shown: any(aggregator["left"] > 0 for aggregator in shown["aggregators"])
+        )
+        code, text = await fleet.run_to_end("aggregator", fleet.file("a0", listen="127.0.0.1:0"))
+        assert code == BAD_FILE and "is here already" in text, text
         assert fleet.running["a0"].returncode is None
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, scenario)
 
 
-def test_an_aggregator_needs_no_more_than_name_and_fleet(tmp_path: Path) -> None:
-    async def act(fleet: Processes) -> None:
+def test_aggregator_file_needs_only_name_and_fleet(tmp_path: Path) -> None:
+    async def scenario(fleet: Processes) -> None:
         table = json.loads(fleet.file("a0").read_text())["fleet"]
         path = tmp_path / "small.json"
         path.write_text(json.dumps({"name": "a0", "fleet": table}))
         assert (await fleet.start("aggregator", "a0", path))["aggregator"] == "a0"
-        assert await fleet.end("a0") == 0  # also while no voter is there
+        assert await fleet.stop("a0") == 0  # it stops although no voter runs
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("command", ["aggregator", "router"])
-def test_an_address_that_is_taken(tmp_path: Path, command: str) -> None:
-    async def act(fleet: Processes) -> None:
+def test_listening_address_in_use_is_reported(tmp_path: Path, command: str) -> None:
+    async def scenario(fleet: Processes) -> None:
         with socket.create_server(("127.0.0.1", 0)) as taken:
             address = f"127.0.0.1:{taken.getsockname()[1]}"
             name = "a0" if command == "aggregator" else "v0"
-            code, text = await fleet.refused(command, fleet.file(name, listen=address))
+            code, text = await fleet.run_to_end(command, fleet.file(name, listen=address))
         assert code == FAILED
         assert f"banklift {command}: " in text and "Address already in use" in text
         assert "Traceback" not in text
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, scenario)
--- a/tools/commits.py
+++ b/tools/commits.py
@@ -29,14 +29,14 @@
         return ["the message is empty"]
     title = lines[0]
     rest = lines[1:]
-    found = []
+    problems = []
     if len(title) >= TITLE_LIMIT:
-        found.append(f"the title has {len(title)} characters; under {TITLE_LIMIT} are wanted")
+        problems.append(f"the title has {len(title)} characters; under {TITLE_LIMIT} are wanted")
     if rest and rest[0]:
-        found.append("the line under the title is not empty")
+        problems.append("the line under the title is not empty")
     if not any(line.strip() for line in rest):
-        found.append("there is no body: cause or need, change, measured result")
-    return found
+        problems.append("there is no body: cause or need, change, measured result")
+    return problems
 
 
 def git(*arguments: str) -> str:
