--- a/benchmarks/days.py
+++ b/benchmarks/days.py
@@ -1,4 +1,7 @@
-"""Every day of trouble on sockets: four router processes, three groups, thousands of sessions; counts kept as a table.
+"""Runs scripted workloads with faults over sockets, judges them, and writes the counts of each to a file.
+
+Each day (a scripted workload, by default every bundled one) runs with four router processes, three groups and thousands
+of client sessions.
 
 .venv/bin/python benchmarks/days.py [--sessions 3000] [--rate 400] [--out benchmarks/results/days.json] [DAY ...]
 """
@@ -21,7 +24,7 @@
 
 
 def three_groups(config: Config) -> Config:
-    """The example's two groups, and a third one made from the last part of their slots."""
+    """The configuration with its two groups, and a third one that takes over the last third of the slots."""
     west, east = config.groups
     members = [
         {"name": f"south-{number}", "address": "127.0.0.1:0", "primary": number == 0} for number in range(3)
@@ -38,6 +41,7 @@
 
 
 def main() -> None:
+    """Run the days of the command line; `--out` is written again after each, so that a run cut short keeps them."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -45,11 +49,11 @@
     parser.add_argument("--sessions", type=int, default=3000)
     parser.add_argument("--rate", type=float, default=400)
     parser.add_argument("--out", type=Path, default=Path(__file__).with_name("results") / "days.json")
-    given = parser.parse_args()
+    args = parser.parse_args()
     rows = []
-    for name in given.days or sorted(path.stem for path in DAYS.glob("*.jsonnet")):
+    for name in args.days or sorted(path.stem for path in DAYS.glob("*.jsonnet")):
         day, config = load_day(name)
-        day = msgspec.structs.replace(day, sessions=given.sessions, rate=given.rate, reread=0.9)
+        day = msgspec.structs.replace(day, sessions=args.sessions, rate=args.rate, reread=0.9)
         config = three_groups(config)
         with tempfile.TemporaryDirectory() as folder:
             trace = Path(folder) / "trace"
@@ -57,12 +61,13 @@
                 play, day, config, 4, 1, trace, lambda at, text: None, backend_options={"use_uvloop": True}
             )
             head, entries = read(trace)
-        verdict, seen = judge(head, entries), symptoms(head, entries)
+        verdict = judge(head, entries)
+        seen = symptoms(head, entries)
         tallies = verdict.tallies.values()
         rows.append(
             {
                 "day": name,
-                "sessions": given.sessions,
+                "sessions": args.sessions,
                 "asked": sum(tally.asked for tally in tallies),
                 "served": sum(tally.served for tally in tallies),
                 "refused": sum(tally.refused for tally in tallies),
@@ -83,8 +88,8 @@
             }
         )
         print(json.dumps(rows[-1]), flush=True)
-        given.out.parent.mkdir(exist_ok=True)
-        given.out.write_text("[\n" + ",\n".join(json.dumps(row) for row in rows) + "\n]\n")
+        args.out.parent.mkdir(exist_ok=True)
+        args.out.write_text("[\n" + ",\n".join(json.dumps(row) for row in rows) + "\n]\n")
 
 
 if __name__ == "__main__":
