--- a/banklift/rig/__init__.py
+++ b/banklift/rig/__init__.py
@@ -1,1 +1,2 @@
-"""Several real processes of the program, with relays and faults between them, judged from outside."""
+"""Test rig for fleets: real processes or virtual time, fault injection on links, disks and clocks, and invariants
+that are checked from outside the routers."""
--- a/banklift/rig/node_env.py
+++ b/banklift/rig/node_env.py
@@ -1,8 +1,8 @@
-"""One machine's surroundings in a virtual world: a clock of its own, a process that can be stopped, a tap on what it
-sends to those that made a link to it.
+"""The environment of one fleet member in virtual time: a clock of its own, a process that can be paused, and a tap on
+what it sends over the connections that it accepted.
 
-A stopped process (`pause`, as by SIGSTOP) runs no timer and hears nothing, while its clock goes on, its kernel takes
-connections and data, and what it sent before is under way. `resume` delivers what was kept.
+A paused process (as by SIGSTOP) runs no timers and receives nothing. Its clock goes on, its kernel accepts connections
+and data, and what it sent before still arrives. `resume` handles the events that came meanwhile.
 """
 
 from __future__ import annotations
@@ -13,66 +13,75 @@
 from banklift.emulator.world import World
 from banklift.net.env import Handle, Listener, Peer
 
-ROUNDING = 1e-7  # seconds by which a clock that was computed may be short of the time that was waited for
+# seconds added to the true time of each timer: a time that was converted between two clocks may be rounded down, and
+# the timer would find that it is not due yet
+CLOCK_ROUNDING = 1e-7
 
 
 class NodeEnv:
-    """The clock runs at `rate` from `offset` on. `tap` is told what is sent on accepted connections: the source of the
-    connection, and the data."""
+    """An `Env` whose clock starts at `offset` seconds and runs at `rate` of its seconds per true second.
+
+    `tap` is called with what is sent on accepted connections: the address of the connection's other end, and the data.
+    """
 
     def __init__(
         self, world: World, rate: float, offset: float, tap: Callable[[str, bytes], None] | None = None
     ) -> None:
-        self.world, self.rate, self.offset, self.zero = world, rate, offset, world.now()
+        self.world, self.rate, self.offset, self.started_at = world, rate, offset, world.now()
         self.tap = tap
         self.paused = False
-        self.kept: list[
+        self.deferred: list[
             tuple[bool, Callable[[], None]]
-        ] = []  # while paused: whether a timer, and its callback
+        ] = []  # events that came while paused: whether it is a timer, and its callback
 
     # ---- the clock
 
     def now(self) -> float:
-        return self.offset + (self.world.now() - self.zero) * self.rate
+        """Seconds on the member's clock."""
+        return self.offset + (self.world.now() - self.started_at) * self.rate
 
-    def true(self, when: float) -> float:
-        """What its time is on the true clock."""
-        return self.zero + (when - self.offset) / self.rate if when > -math.inf else -math.inf
+    def true_time(self, when: float) -> float:
+        """Convert a time on the member's clock to the true clock."""
+        return self.started_at + (when - self.offset) / self.rate if when > -math.inf else -math.inf
 
     def at(self, when: float, callback: Callable[[], None]) -> None:
-        true = max(self.world.now(), self.true(when) + ROUNDING)
-        self.world.at(true, lambda: self.deliver(callback, timer=True))
+        """Call back at a time on the member's clock, or once the process runs again."""
+        due = max(self.world.now(), self.true_time(when) + CLOCK_ROUNDING)
+        self.world.at(due, lambda: self.deliver(callback, timer=True))
 
     # ---- the process
 
     def deliver(self, callback: Callable[[], None], timer: bool = False) -> None:
-        """Let the process handle an event, once it runs."""
+        """Let the process handle an event: now, or once it is resumed."""
         if self.paused:
-            self.kept.append((timer, callback))
+            self.deferred.append((timer, callback))
         else:
             callback()
 
     def pause(self) -> None:
+        """Handle no events until `resume`."""
         self.paused = True
 
     def resume(self, timers_first: bool = False) -> None:
-        """Go on. What came meanwhile is handled before the timers that ran out, or after them."""
+        """Handle the deferred events: those of connections before the timers that ran out, or after them."""
         self.paused = False
-        kept, self.kept = self.kept, []
-        for _, callback in sorted(kept, key=lambda one: one[0] is not timers_first):
+        deferred, self.deferred = self.deferred, []
+        for _, callback in sorted(deferred, key=lambda event: event[0] is not timers_first):
             callback()
 
     # ---- connections
 
     def listen(self, address: str, accept: Callable[[], Peer]) -> Listener:
+        """As `Env.listen`; what is sent on the accepted connections goes through the tap."""
         return self.world.listen(address, lambda: _ProcessPeer(self, accept(), self.tap))
 
     def connect(self, address: str, peer: Peer, source: str | None = None) -> Handle:
+        """As `Env.connect`."""
         return self.world.connect(address, _ProcessPeer(self, peer), source)
 
 
 class _TappedHandle:
-    """A handle whose tap is told what is sent."""
+    """A handle that calls the tap with all that is sent."""
 
     def __init__(self, handle: Handle, tap: Callable[[str, bytes], None]) -> None:
         self.handle, self.tap = handle, tap
@@ -99,7 +108,7 @@
 
 
 class _ProcessPeer(Peer):
-    """Passes events on to the peer of a process that may be stopped."""
+    """Passes events on to the peer of a process that can be paused."""
 
     def __init__(self, env: NodeEnv, peer: Peer, tap: Callable[[str, bytes], None] | None = None) -> None:
         self.env, self.peer, self.tap = env, peer, tap
--- a/banklift/rig/operator.py
+++ b/banklift/rig/operator.py
@@ -1,4 +1,4 @@
-"""An operator's tool inside the rig: one question to a voter or an aggregator, over its own connection."""
+"""An operator's tool inside the rig: one request to a voter or an aggregator, over a connection of its own."""
 
 from __future__ import annotations
 
@@ -21,11 +21,14 @@
 
 
 class Operator(Peer):
-    """`told` gets the answer, or None if the connection broke or was ended."""
+    """Sends one message once the connection is up, and calls `on_answer` once: with the answer, or with None if the
+    connection broke or the other end closed it."""
 
-    def __init__(self, fleet: str, message: Set | Show, told: Callable[[Message | None], object]) -> None:
-        self.fleet, self.message, self.told = fleet, message, told
-        self.frames, self.over = Frames(), False
+    def __init__(
+        self, fleet: str, message: Set | Show, on_answer: Callable[[Message | None], object]
+    ) -> None:
+        self.fleet, self.message, self.on_answer = fleet, message, on_answer
+        self.frames, self.done = Frames(), False
 
     def up(self, handle: Handle) -> None:
         self.handle = handle
@@ -38,15 +41,15 @@
         except Garbage:
             messages = [Bye("garbage")]
         for message in messages:
-            if not self.over and not isinstance(message, Hello | Progress):
-                self.over = True
+            if not self.done and not isinstance(message, Hello | Progress):
+                self.done = True
                 self.handle.close()
-                self.told(None if isinstance(message, Bye) else message)
+                self.on_answer(None if isinstance(message, Bye) else message)
 
     def eof(self) -> None:
         self.lost("closed")
 
     def lost(self, reason: str) -> None:
-        if not self.over:
-            self.over = True
-            self.told(None)
+        if not self.done:
+            self.done = True
+            self.on_answer(None)
--- a/banklift/rig/platform_settings.py
+++ b/banklift/rig/platform_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a site on the platform, as the decision module reads them, for what is measured without a bench."""
+"""Balancer settings of a typical site on the platform, for benchmarks that run the decision code by itself."""
 
 from __future__ import annotations
 
--- a/banklift/rig/processes.py
+++ b/banklift/rig/processes.py
@@ -1,7 +1,7 @@
-"""A fleet as processes of its own, started by `banklift router` and `banklift aggregator`, with a relay on every link.
+"""A fleet of real processes, started by `banklift router` and `banklift aggregator`, with a relay on every link.
 
-The rig's own part (members, relays, clients, trace) runs in the caller's event loop. Only it touches the processes: it
-starts, kills, stops and continues them by their ids, and changes files between a kill and a start.
+The rig's own part (members, relays, clients, trace) runs in the caller's event loop. The rig alone starts, kills,
+pauses and resumes the processes, by their ids. Tests may change files between a kill and a start.
 """
 
 from __future__ import annotations
@@ -30,6 +30,7 @@
 from banklift.net.env import Env
 from banklift.rig import site
 from banklift.rig.clients import Client
+from banklift.rig.judge import KEY_FAMILIES
 from banklift.rig.operator import Operator
 from banklift.rig.process_faults import ProcessFaults, write_faults
 from banklift.rig.relay import BACK, THERE, Relay
@@ -37,13 +38,14 @@
 
 FLEET = "rig"
 ZONE = "here"
-SHOW_WAIT = 60.0  # seconds that a member may take to say how it stands
-UNKNOWN_TRIES = 20  # of an operator who wants to know how a change ended
-START = 60.0  # seconds that a process may take until it listens, on a machine however busy
+SHOW_TIMEOUT = 60.0  # seconds for a voter or an aggregator to answer a Show
+UNKNOWN_TRIES = 20  # retries of `policy set` while the outcome is unknown
+START_TIMEOUT = 60.0  # seconds for a process to listen or to end; long, for busy machines
+FINISH_TIMEOUT = 5.0  # seconds for the last requests to be answered, times the rig's time factor
 
 
-class Refused(Exception):
-    """A router ended at its start; `code` and `text` are its exit code and its last words."""
+class StartFailed(Exception):
+    """A process ended before it listened. `code`: its exit code. `text`: the end of its log."""
 
     def __init__(self, code: int, text: str) -> None:
         super().__init__(f"exit {code}: {text}")
@@ -51,72 +53,83 @@
 
 
 class Rig:
-    """`voters` of `names` are the first ones. `aggregators`: of the one zone in which all other routers are, if there
-    are any. `times`: of the site's deadlines. Must be closed."""
+    """Emulated members, relays, clients and the processes of one fleet. Must be closed.
+
+    `names`: of all routers; the first `voter_count` of them are the voters. `lease`: seconds that voters grant.
+    `time_factor`: multiplies all deadlines of the site, for slow machines. `aggregators`: names of the aggregators of
+    the fleet's only zone, which all routers that are no voters lease from; without any, all routers lease from voters.
+    """
 
     def __init__(
         self,
         env: Env,
         folder: Path,
         names: list[str],
-        voters: int,
+        voter_count: int,
         lease: float,
         seed: int = 1,
-        times: float = 1.0,
+        time_factor: float = 1.0,
         aggregators: Sequence[str] = (),
     ) -> None:
-        self.env, self.folder, self.names, self.voters, self.lease = env, folder, names, names[:voters], lease
-        self.times = times
+        self.env, self.folder, self.names, self.lease = env, folder, names, lease
+        self.voters = names[:voter_count]
+        self.time_factor = time_factor
         self.trace = Trace()
-        self.stand = Stand(site.site(times), env, seed, self._tap)
+        self.stand = Stand(site.site(time_factor), env, seed, self._tap)
         self.roles = {entry["member"]: entry["role"] for entry in self.stand.describe()}
         self.aggregators = list(aggregators)
         listeners = (*self.voters, *aggregators)
-        held = [_bound_socket() for _ in listeners]  # until the relays have ports of their own
-        self.ports = {name: int(one.getsockname()[1]) for name, one in zip(listeners, held, strict=True)}
-        self.addresses: dict[str, str] = {}  # where clients reach routers
+        reserved = [_reserve_port() for _ in listeners]  # so that no relay gets the port of a member
+        self.ports = {name: int(one.getsockname()[1]) for name, one in zip(listeners, reserved, strict=True)}
+        self.addresses: dict[str, str] = {}  # of routers, for clients
         self.processes: dict[str, Process] = {}
         self.clients: dict[str, Client] = {}
-        self.relays: dict[tuple[str, str], Relay] = {}  # by who makes the link, and to whom
+        self.relays: dict[
+            tuple[str, str], Relay
+        ] = {}  # by the member that makes the link, and the one that accepts
         self.seed = seed
         for name in (*names, *aggregators):
             for voter in self.voters:
                 if name != voter:
-                    self._relay(name, voter)
-        for name in names[voters:]:
+                    self._add_relay(name, voter)
+        for name in names[voter_count:]:
             for aggregator in aggregators:
-                self._relay(name, aggregator)
-        for one in held:
-            one.close()
+                self._add_relay(name, aggregator)
+        for port_socket in reserved:
+            port_socket.close()
 
-    def _relay(self, one: str, other: str) -> None:
-        target = f"127.0.0.1:{self.ports[other]}"
-        self.relays[one, other] = Relay(self.env, lambda: target, self.seed * 1000 + len(self.relays))
+    def _add_relay(self, source: str, target: str) -> None:
+        address = f"127.0.0.1:{self.ports[target]}"
+        self.relays[source, target] = Relay(self.env, lambda: address, self.seed * 1000 + len(self.relays))
 
     def _tap(self, now: float, member: str, act: Act) -> None:
+        """Trace the GETs that members run."""
         if act.what == "command" and len(act.args) == 2 and act.args[0].upper() == b"GET":
             self.trace.add(
                 Entry(now, "ran", act.args[1].decode("latin-1"), member=member, role=self.roles[member])
             )
 
-    def note(self, kind: str, **fields: Any) -> None:
+    def record(self, kind: str, **fields: Any) -> None:
+        """Add an entry to the trace, with the present time."""
         self.trace.add(Entry(self.env.now(), kind, **fields))
 
-    def _note_process(self, kind: str, name: str, what: str) -> None:
-        """The trace's `up` and `down` are of routers; what is done to an aggregator is a fault."""
+    def _record_process(self, kind: str, name: str, what: str) -> None:
+        """Trace that a process came up or went down. Only routers have `up` and `down` entries; for an aggregator it is
+        a fault."""
         if name in self.aggregators:
-            self.note("fault", router=name, what=what)
+            self.record("fault", router=name, what=what)
         else:
-            self.note(kind, router=name, what=what)
+            self.record(kind, router=name, what=what)
 
     # ---- processes
 
-    def file(self, name: str, **changes: Any) -> Path:
-        """The file of a router or an aggregator; `changes` go over the whole of it."""
+    def write_config(self, name: str, **changes: Any) -> Path:
+        """Write the configuration file of a router or an aggregator. `changes` replace its top-level keys; a table is
+        merged into the one that is there."""
         content: dict[str, Any] = {"name": name, "fleet": self._fleet_table(name)}
         if name not in self.aggregators:
             content = {
-                **site.config(self.times),
+                **site.config(self.time_factor),
                 "groups": msgspec.to_builtins(self.stand.groups()),
                 "listen": self.addresses.get(name, "127.0.0.1:0"),
                 **content,
@@ -137,33 +150,37 @@
         if self.aggregators:
             table["zone"] = ZONE
             table["aggregators"] = {
-                other: {"address": self._address(name, other), "zone": ZONE} for other in self.aggregators
+                aggregator: {"address": self._address(name, aggregator), "zone": ZONE}
+                for aggregator in self.aggregators
             }
         return table
 
-    def _address(self, name: str, other: str) -> str:
-        """Where one reaches another."""
-        relay = self.relays.get((name, other))
-        return f"127.0.0.1:{self.ports[other]}" if relay is None else relay.address
+    def _address(self, source: str, target: str) -> str:
+        """The address at which one member reaches another: of the relay between them, if there is one."""
+        relay = self.relays.get((source, target))
+        return f"127.0.0.1:{self.ports[target]}" if relay is None else relay.address
 
-    def preferred(self, router: str) -> str:
+    def preferred_aggregator(self, router: str) -> str:
         """The aggregator that this router leases from while it can."""
         return choose(router, [Candidate(name, name) for name in self.aggregators])[0]
 
-    def state(self, name: str) -> Path:
+    def state_folder(self, name: str) -> Path:
         """The folder of a voter's state."""
         return self.folder / f"{name}.state"
 
     async def start(
         self, name: str, descriptors: int | None = None, faults: ProcessFaults | None = None, **changes: Any
     ) -> None:
-        """Start one and wait until it listens. `descriptors`: the most it may hold. `faults`: within the process, which
-        `fail` can change later. Errors: `Refused`."""
-        path, log = self.file(name, **changes), self.folder / f"{name}.log"
+        """Start a router or an aggregator, and wait until it listens.
+
+        `descriptors`: limit of its open files. `faults`: injected into the process; `set_faults` changes them later.
+        `changes`: to its configuration, as for `write_config`. Errors: `StartFailed`, `TimeoutError`.
+        """
+        path, log = self.write_config(name, **changes), self.folder / f"{name}.log"
         command = "aggregator" if name in self.aggregators else "router"
         program = ["banklift"]
         if faults is not None:
-            self.fail(name, faults)
+            self.set_faults(name, faults)
             program = ["banklift.rig.faulty_process", str(self._faults_file(name))]
 
         with log.open("ab") as errors:
@@ -172,158 +189,173 @@
                 stderr=errors,
                 stdout=subprocess.PIPE,
             )
-        if descriptors is not None:  # before it looks: it imports for longer than this takes
+        if descriptors is not None:  # in time: the program reads its limit only after its imports
             resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (descriptors, descriptors))
         self.processes[name] = process
         assert process.stdout is not None
         line = b""
-        with anyio.fail_after(START):
+        with anyio.fail_after(START_TIMEOUT):
             while not line.endswith(b"\n"):
                 try:
                     line += await process.stdout.receive()
                 except anyio.EndOfStream:
-                    raise Refused(await process.wait(), log.read_text()[-2000:]) from None
+                    raise StartFailed(await process.wait(), log.read_text()[-2000:]) from None
         if name not in self.aggregators:
             self.addresses[name] = str(json.loads(line)["listening"])
-        self._note_process("up", name, "start")
+        self._record_process("up", name, "start")
 
     def _faults_file(self, name: str) -> Path:
         return self.folder / f"{name}.faults"
 
-    def fail(self, name: str, faults: ProcessFaults) -> None:
-        """Faults within a process that was started with some; in place of earlier ones."""
-        self.note("fault", router=name, what=str(faults))
+    def set_faults(self, name: str, faults: ProcessFaults) -> None:
+        """Replace the faults within a process that was started with `faults`."""
+        self.record("fault", router=name, what=str(faults))
         write_faults(self._faults_file(name), faults)
 
-    async def died(self, name: str) -> None:
-        """Wait until a process was killed at its step."""
-        with anyio.fail_after(START):
+    async def wait_until_killed(self, name: str) -> None:
+        """Wait until a process has killed itself at the kill point of its faults. Errors: `TimeoutError`."""
+        with anyio.fail_after(START_TIMEOUT):
             code = await self.processes[name].wait()
         assert code == -signal.SIGKILL, f"{name} ended with {code}: {self.log(name)[-500:]}"
-        self._note_process("down", name, "kill")
+        self._record_process("down", name, "kill")
 
-    def jump(self, name: str) -> None:
-        """The clock of a process that was started with a jump makes it."""
-        self.note("fault", router=name, what="clock jumps")
+    def jump_clock(self, name: str) -> None:
+        """Let the clock of a process jump ahead by the `clock_jump` of its faults."""
+        self.record("fault", router=name, what="clock jumps")
         os.kill(self.processes[name].pid, signal.SIGUSR1)
 
     async def kill(self, name: str) -> None:
-        """SIGKILL."""
+        """Send SIGKILL, and wait for the end of the process."""
         self.processes[name].kill()
         await self.processes[name].wait()
-        self._note_process("down", name, "kill")
+        self._record_process("down", name, "kill")
 
-    def stop(self, name: str) -> None:
-        """SIGSTOP: it does nothing, and knows nothing of it."""
+    def pause(self, name: str) -> None:
+        """Send SIGSTOP."""
         os.kill(self.processes[name].pid, signal.SIGSTOP)
-        self._note_process("down", name, "stop")
+        self._record_process("down", name, "stop")
 
-    def go_on(self, name: str) -> None:
-        self._note_process("up", name, "continue")
+    def resume(self, name: str) -> None:
+        """Send SIGCONT."""
+        self._record_process("up", name, "continue")
         os.kill(self.processes[name].pid, signal.SIGCONT)
 
-    async def leave(self, name: str) -> int:
-        """SIGTERM; the exit code."""
+    async def terminate(self, name: str) -> int:
+        """Send SIGTERM, and wait for the end of the process; its exit code. Errors: `TimeoutError`."""
         self.processes[name].terminate()
-        with anyio.fail_after(START):
+        with anyio.fail_after(START_TIMEOUT):
             code = await self.processes[name].wait()
-        self._note_process("down", name, "terminate")
+        self._record_process("down", name, "terminate")
         return code
 
+    # ---- links
+
     def links(self, name: str, others: Sequence[str] = ()) -> list[Relay]:
-        """All links of a member, or those with `others`."""
+        """All links of a router or an aggregator, or those with `others`."""
         return [
             relay
-            for (one, other), relay in self.relays.items()
-            if (name == one and (not others or other in others))
-            or (name == other and (not others or one in others))
+            for (source, target), relay in self.relays.items()
+            if (name == source and (not others or target in others))
+            or (name == target and (not others or source in others))
         ]
 
-    def cut_off(
+    def inject_link_fault(
         self,
         name: str,
-        way: str | None = None,
+        direction: str | None = None,
         fault: str = "stall",
         value: float = 1.0,
         others: Sequence[str] = (),
     ) -> None:
-        """One fault on all links of a member, or those with `others`, both ways or one ("there" is from who made the
-        link)."""
-        self.note("fault", router=name, what=f"{fault} {value:g} {way or 'both'} {' '.join(others)}".rstrip())
+        """Set one fault (relay.py) on all links of a router or an aggregator, or on those with `others`.
+
+        `direction`: "there" (from the member that makes a link) or "back"; by default both.
+        """
+        described = f"{fault} {value:g} {direction or 'both'} {' '.join(others)}".rstrip()
+        self.record("fault", router=name, what=described)
         for relay in self.links(name, others):
-            for each in (THERE, BACK) if way is None else (way,):
+            for each in (THERE, BACK) if direction is None else (direction,):
                 relay.fault(each, fault, value)
 
     def heal(self, name: str | None = None) -> None:
-        self.note("fault", router=name or "", what="heal")
+        """End all faults on the links of a router or an aggregator, or on all links."""
+        self.record("fault", router=name or "", what="heal")
         for relay in list(self.relays.values()) if name is None else self.links(name):
             relay.heal()
 
     def log(self, name: str) -> str:
+        """What a process and its earlier incarnations have logged."""
         return (self.folder / f"{name}.log").read_text()
 
     # ---- clients
 
-    def ask(self, names: list[str] | None = None, every: float = 0.02) -> None:
-        """Let clients ask these routers, or all that are up."""
+    def start_clients(self, names: list[str] | None = None, interval: float = 0.02) -> None:
+        """Start a client of each of these routers, or of all that are up; each sends a request every `interval`
+        seconds."""
         for name in names or list(self.addresses):
-            self.clients[name] = Client(self.env, name, self.addresses[name], every, self.trace)
+            self.clients[name] = Client(self.env, name, self.addresses[name], interval, self.trace)
 
-    async def quiet(self) -> None:
-        """Let clients ask no more, and wait until all is answered."""
+    async def finish_clients(self) -> None:
+        """Stop sending requests, and wait a bounded time for the answers to those that were sent."""
         for client in self.clients.values():
             client.finish()
-        with anyio.move_on_after(5 * self.times):
-            while any(client.line for client in self.clients.values()):
+        with anyio.move_on_after(FINISH_TIMEOUT * self.time_factor):
+            while any(client.unanswered for client in self.clients.values()):
                 await anyio.sleep(0.01)
 
-    async def until(self, true: Callable[[], bool], seconds: float = START) -> None:
-        """Wait for what the trace or the processes are to show. Errors: `TimeoutError`."""
+    async def wait_until(self, condition: Callable[[], bool], seconds: float = START_TIMEOUT) -> None:
+        """Wait until a condition on the trace or the processes holds. Errors: `TimeoutError`."""
         with anyio.fail_after(seconds):
-            while not true():
+            while not condition():
                 await anyio.sleep(0.01)
 
-    async def serves(self, *names: str, parity: int | None = None) -> None:
-        """Wait until each has answered a request that was sent from now on; under that parity, if one is given."""
+    async def wait_until_serving(self, *names: str, variant: int | None = None) -> None:
+        """Wait until each router has served a request that was sent after this call: any one, or one that it took under
+        this variant of the policy. Errors: `TimeoutError`."""
         begin = self.env.now()
 
-        def shown() -> bool:
-            sent = {
+        def all_served() -> bool:
+            routers = {
                 entry.key: entry.router
                 for entry in self.trace.entries
-                if entry.k == "sent" and entry.t >= begin
+                if entry.kind == "sent" and entry.time >= begin
             }
-            done = {
-                sent[entry.key]
+            served = {
+                routers[entry.key]
                 for entry in self.trace.entries
-                if entry.key in sent
+                if entry.key in routers
                 and (
-                    (entry.k == "got" and entry.answer == "served")
-                    if parity is None
-                    else (entry.k == "ran" and entry.role == "replica" and entry.key[0] == "ab"[parity])
+                    (entry.kind == "got" and entry.answer == "served")
+                    if variant is None
+                    else (
+                        entry.kind == "ran"
+                        and entry.role == "replica"
+                        and entry.key[0] == KEY_FAMILIES[variant]
+                    )
                 )
             }
-            return set(names) <= done
+            return set(names) <= served
 
-        await self.until(shown)
+        await self.wait_until(all_served)
 
     # ---- operators
 
-    async def banklift(self, *arguments: str) -> tuple[int, str, str]:
-        """Run a tool; its exit code, output and errors."""
+    async def run_tool(self, *arguments: str) -> tuple[int, str, str]:
+        """Run the `banklift` command with these arguments; its exit code, standard output and standard error."""
         done = await anyio.run_process([sys.executable, "-m", "banklift", *arguments], check=False)
         return done.returncode, done.stdout.decode(), done.stderr.decode()
 
-    async def show(self, voter: str) -> Shown | None:
-        """What a voter or an aggregator tells of itself, asked past all relays; None if it does not answer."""
+    async def show(self, name: str) -> Shown | None:
+        """The state that a voter or an aggregator reports, asked directly and not through relays; None if the
+        connection broke. Errors: `TimeoutError`."""
         answers: list[Message | None] = []
-        self.env.connect(f"127.0.0.1:{self.ports[voter]}", Operator(FLEET, Show(), answers.append))
-        await self.until(lambda: bool(answers), SHOW_WAIT)
+        self.env.connect(f"127.0.0.1:{self.ports[name]}", Operator(FLEET, Show(), answers.append))
+        await self.wait_until(lambda: bool(answers), SHOW_TIMEOUT)
         return answers[0] if isinstance(answers[0], Shown) else None
 
-    async def until_stage(self, stage: Stage, voter: str) -> str:
-        """Wait until a voter knows of a change that has come so far; its id."""
-        with anyio.fail_after(START):
+    async def wait_for_stage(self, stage: Stage, voter: str) -> str:
+        """Wait until a voter reports a change at this stage; the change's id. Errors: `TimeoutError`."""
+        with anyio.fail_after(START_TIMEOUT):
             while True:
                 shown = await self.show(voter)
                 change = shown.state.change if shown is not None and shown.state is not None else None
@@ -331,34 +363,48 @@
                     return change.id
                 await anyio.sleep(0.002)
 
-    async def set(
-        self, parity: int, *more: str, by: str = "", until_known: bool = False, **policy: Any
+    async def set_policy(
+        self, variant: int, *more: str, by: str = "", retry_unknown: bool = False, **policy: Any
     ) -> dict[str, Any]:
-        """`banklift policy set`; what it printed as JSON, with its exit `code`. `until_known`: ask again by the same id
-        while the outcome is unknown, a bounded number of times."""
+        """Run `banklift policy set`; what it printed as JSON, with its exit `code` and its `errors`.
+
+        `more`: further arguments. `by`: the router whose configuration the tool uses; by default the last one.
+        `retry_unknown`: ask again by the same id while the outcome is unknown, up to `UNKNOWN_TRIES` times.
+        `policy`: top-level keys of the policy in place of the usual ones.
+        """
         path = self.folder / f"policy-{time.monotonic_ns()}.json"
-        path.write_text(site.text(parity, self.times, **policy))
-        arguments = ["policy", "set", str(path), "--config", str(self.file(by or self.names[-1])), "--json"]
-        self.note("set", parity=parity)
-        code, out, errors = await self.banklift(*arguments, *more)
+        path.write_text(site.policy_text(variant, self.time_factor, **policy))
+        arguments = [
+            "policy",
+            "set",
+            str(path),
+            "--config",
+            str(self.write_config(by or self.names[-1])),
+            "--json",
+        ]
+        self.record("set", variant=variant)
+        code, out, errors = await self.run_tool(*arguments, *more)
         answer = json.loads(out) if out.strip() else {}
-        for _ in range(UNKNOWN_TRIES if until_known else 0):
+        for _ in range(UNKNOWN_TRIES if retry_unknown else 0):
             if answer.get("result", "unknown") != "unknown":
                 break
-            same = ("--id", answer["id"]) if "id" in answer else ()  # none: no voter had told its version
-            code, out, errors = await self.banklift(*arguments, *more, *same)
+            # no id if no voter had reported its version, so that nothing was proposed yet
+            same = ("--id", answer["id"]) if "id" in answer else ()
+            code, out, errors = await self.run_tool(*arguments, *more, *same)
             answer = json.loads(out) if out.strip() else {}
-        self.note("told", answer=answer.get("result", "unknown"), parity=parity)
+        self.record("told", answer=answer.get("result", "unknown"), variant=variant)
         return {**answer, "code": code, "errors": errors}
 
-    async def fleet(self, by: str = "") -> dict[str, Any]:
-        """`banklift fleet`."""
-        code, out, errors = await self.banklift(
-            "fleet", "--config", str(self.file(by or self.names[-1])), "--json"
+    async def show_fleet(self, by: str = "") -> dict[str, Any]:
+        """What `banklift fleet` prints as JSON, run with the configuration of the router `by`, by default the last one;
+        its exit `code` and its `errors` if it failed."""
+        code, out, errors = await self.run_tool(
+            "fleet", "--config", str(self.write_config(by or self.names[-1])), "--json"
         )
         return json.loads(out) if code == 0 else {"code": code, "errors": errors}
 
     async def close(self) -> None:
+        """Close clients and relays, and kill the processes that still run."""
         for client in self.clients.values():
             client.finish()
             client.close()
@@ -372,8 +418,8 @@
             relay.close()
 
 
-def _bound_socket() -> socket.socket:
-    """On a port of the kernel's choice, which nobody else gets until it is closed."""
+def _reserve_port() -> socket.socket:
+    """A socket bound to a port that the kernel chose; nobody else gets the port until the socket is closed."""
     bound = socket.socket()
     bound.bind(("127.0.0.1", 0))
     return bound
--- a/banklift/rig/relay.py
+++ b/banklift/rig/relay.py
@@ -1,15 +1,16 @@
-"""A relay on one link, with faults each way for itself. Written against `Env`, so it is the same in virtual time.
+"""A relay on one link that injects faults, for each direction separately. It is written against `Env`, so it works on
+sockets and in virtual time.
 
-| fault | what becomes of the bytes of that way |
+| fault | effect on the bytes of that direction |
 | --- | --- |
-| drop | they vanish, and the connection stays |
-| stall | they are taken and kept; `heal` delivers them, also those of a connection whose end has gone since |
-| delay | they come so many seconds late, in order |
-| throttle | they come at so many bytes a second |
-| flip | one bit of the next piece is turned over |
-| cut | of the next piece a part comes through, then the connection ends |
-
-Besides, a relay may refuse: it takes no new connections and ends those that it has.
+| drop | they are discarded, and the connection stays open |
+| stall | they are held back; `heal` delivers them, even if their sender has closed its connection since |
+| delay | they arrive so many seconds later, in order |
+| throttle | they arrive at so many bytes a second |
+| flip | one bit of the next chunk is flipped |
+| cut | a part of the next chunk is delivered, then the connection is closed |
+
+A relay may also refuse: it closes its connections and accepts no new ones.
 """
 
 from __future__ import annotations
@@ -20,18 +21,23 @@
 
 from banklift.net.env import Env, Handle, Listener, Peer
 
-FAULTS = ("drop", "stall", "delay", "throttle", "flip", "cut")
-THERE, BACK = "there", "back"
+FAULTS = ("drop", "stall", "delay", "throttle", "flip", "cut")  # each is a field of `DirectionFaults`
+THERE, BACK = "there", "back"  # directions: from who made the connection to the target, and from the target
+TARGET_POLL_INTERVAL = (
+    0.001  # seconds between attempts to deliver while the connection to the target is opening
+)
 
 
 @dataclass(slots=True)
-class Way:
+class DirectionFaults:
+    """Faults in force in one direction; falsy values mean none."""
+
     drop: bool = False
     stall: bool = False
-    delay: float = 0.0
-    throttle: float = 0.0
-    flip: int = 0  # pieces yet to be spoilt
-    cut: int = 0  # pieces yet to be cut
+    delay: float = 0.0  # seconds
+    throttle: float = 0.0  # bytes a second
+    flip: int = 0  # chunks still to be corrupted
+    cut: int = 0  # chunks still to be cut short, each with its connection
 
 
 @dataclass(slots=True, eq=False)
@@ -39,74 +45,82 @@
     """One direction of one connection."""
 
     relay: Relay
-    way: Way
-    to: Callable[[], Handle | None]  # where it goes; None while that is not up yet
-    shut: Callable[[], None]  # end both ends
-    over: Callable[[], bool]
-    kept: list[bytes] = field(default_factory=list)
-    last: float = 0.0  # when the newest piece is due at the other end
-    ended: bool = False  # nothing more comes
-
-    def come(self, data: bytes) -> None:
-        relay, way = self.relay, self.way
-        if way.drop:
+    faults: DirectionFaults
+    receiver: Callable[[], Handle | None]  # None while the connection to it is not open yet
+    close_connection: Callable[[], None]
+    is_closed: Callable[[], bool]
+    stalled: list[bytes] = field(default_factory=list)
+    last_due: float = 0.0  # when the newest chunk is due at the receiver
+    ended: bool = False  # the sender has closed its connection
+
+    def receive(self, data: bytes) -> None:
+        """Pass a chunk on, subject to the faults of this direction."""
+        relay, faults = self.relay, self.faults
+        if faults.drop:
             relay.count("drop")
             return
-        if way.flip:
-            way.flip -= 1
+        if faults.flip:
+            faults.flip -= 1
             relay.count("flip")
             place = relay.random.randrange(len(data))
             data = data[:place] + bytes([data[place] ^ 1 << relay.random.randrange(8)]) + data[place + 1 :]
-        if way.cut:
-            way.cut -= 1
+        if faults.cut:
+            faults.cut -= 1
             relay.count("cut")
-            self.pass_on(data[: relay.random.randrange(len(data))])
-            relay.env.at(relay.env.now(), self.shut)
+            self.forward(data[: relay.random.randrange(len(data))])
+            relay.env.at(relay.env.now(), self.close_connection)
             return
-        if way.stall:
+        if faults.stall:
             relay.count("stall")
-            self.kept.append(data)
+            self.stalled.append(data)
             return
-        self.pass_on(data)
+        self.forward(data)
 
-    def pass_on(self, data: bytes) -> None:
+    def forward(self, data: bytes) -> None:
+        """Deliver a chunk now, or later by `delay` and `throttle`, in order."""
         relay, now = self.relay, self.relay.env.now()
-        due = now + self.way.delay
-        if self.way.throttle > 0:
-            due = max(due, self.last) + len(data) / self.way.throttle
-        if due <= now and self.last <= now:
+        due = now + self.faults.delay
+        if self.faults.throttle > 0:
+            due = max(due, self.last_due) + len(data) / self.faults.throttle
+        if due <= now and self.last_due <= now:
             self.deliver(data)
             return
         relay.count("delay")
-        self.last = max(self.last, due)
-        relay.env.at(self.last, lambda: self.deliver(data))
+        self.last_due = max(self.last_due, due)
+        relay.env.at(self.last_due, lambda: self.deliver(data))
 
     def deliver(self, data: bytes) -> None:
-        handle = self.to()
-        if self.over():
+        """Send a chunk to the receiver, as soon as the connection to it is open."""
+        handle = self.receiver()
+        if self.is_closed():
             return
         if handle is None:
-            self.relay.env.at(self.relay.env.now() + 0.001, lambda: self.deliver(data))
+            self.relay.env.at(self.relay.env.now() + TARGET_POLL_INTERVAL, lambda: self.deliver(data))
         else:
             handle.send(data)
 
     def heal(self) -> None:
-        kept, self.kept = self.kept, []
-        for data in kept:
-            self.pass_on(data)
+        """Forward what a stall has held back."""
+        stalled, self.stalled = self.stalled, []
+        for data in stalled:
+            self.forward(data)
         if self.ended:
-            self.shut()
+            self.close_connection()
 
     def end(self) -> None:
-        """The end that sends has gone: what is kept may come late yet."""
+        """The sender has closed its connection. What a stall holds back can still be delivered by `heal`, so the
+        connection is closed only if there is nothing."""
         self.ended = True
-        if not self.kept:
-            self.shut()
+        if not self.stalled:
+            self.close_connection()
 
 
 class Relay:
-    """Passes connections on to `target()`, the address of the moment; listens at `address`. `source`: from which it
-    connects on, where there are several."""
+    """Listens at `address` and connects each connection on to `target()`, the target's address at that moment.
+
+    `seed`: for the random parts of faults. `source`: the local address to connect from, in surroundings with several.
+    Errors: `OSError` if `address` can't be had.
+    """
 
     def __init__(
         self,
@@ -117,116 +131,130 @@
         source: str | None = None,
     ) -> None:
         self.env, self.target, self.random, self.source = env, target, Random(seed), source
-        self.ways = {THERE: Way(), BACK: Way()}
+        self.directions = {THERE: DirectionFaults(), BACK: DirectionFaults()}
         self.refusing = False
-        self.pairs: set[_Pair] = set()
-        self.counts: dict[str, int] = {}  # how often each fault bit
+        self.connections: set[_Connection] = set()
+        self.counts: dict[str, int] = {}  # how often each fault took effect
         self.listener: Listener = env.listen(address, self._accept)
         self.address = self.listener.address
 
     def count(self, fault: str) -> None:
+        """Note that a fault took effect once."""
         self.counts[fault] = self.counts.get(fault, 0) + 1
 
     def fault(self, way: str, name: str, value: float = 1.0) -> None:
-        """Set one fault; 0 takes it back, and delivers what a stall has kept."""
-        kind = type(getattr(Way(), name))
-        setattr(self.ways[way], name, kind(value))
+        """Set one fault of one direction. A value of 0 ends it; the end of a stall delivers what was held back."""
+        value_type = type(getattr(DirectionFaults(), name))
+        setattr(self.directions[way], name, value_type(value))
         if name == "stall" and not value:
-            for pair in list(self.pairs):
-                pair.streams[way].heal()
+            for connection in list(self.connections):
+                connection.streams[way].heal()
 
     def refuse(self, refusing: bool) -> None:
+        """Close all connections and accept no new ones, or accept them again."""
         self.refusing = refusing
         if refusing:
             self.end()
 
     def end(self) -> None:
-        """End every connection."""
-        for pair in list(self.pairs):
+        """Close every connection."""
+        for connection in list(self.connections):
             self.count("end")
-            pair.shut()
+            connection.close()
 
     def heal(self) -> None:
+        """End all faults of both directions."""
         self.refusing = False
-        for name, way in self.ways.items():
+        for name, direction in self.directions.items():
             for fault in FAULTS:
-                if getattr(way, fault):
+                if getattr(direction, fault):
                     self.fault(name, fault, 0)
 
     def close(self) -> None:
+        """Stop listening, and close every connection."""
         self.listener.close()
         self.end()
 
     def _accept(self) -> Peer:
-        return _Near(_Pair(self))
+        return _SourcePeer(_Connection(self))
 
 
-class _Pair:
-    """One connection through the relay."""
+class _Connection:
+    """One connection through the relay: from the source that made it, and on to the target."""
 
     def __init__(self, relay: Relay) -> None:
         self.relay = relay
-        self.near: Handle | None = None
-        self.far: Handle | None = None
-        self.up = False
-        self.over = False
+        self.source: Handle | None = None
+        self.target: Handle | None = None
+        self.target_is_open = False
+        self.closed = False
         self.streams = {
             THERE: Stream(
-                relay, relay.ways[THERE], lambda: self.far if self.up else None, self.shut, lambda: self.over
+                relay,
+                relay.directions[THERE],
+                lambda: self.target if self.target_is_open else None,
+                self.close,
+                lambda: self.closed,
             ),
-            BACK: Stream(relay, relay.ways[BACK], lambda: self.near, self.shut, lambda: self.over),
+            BACK: Stream(relay, relay.directions[BACK], lambda: self.source, self.close, lambda: self.closed),
         }
 
-    def shut(self) -> None:
-        if not self.over:
-            self.over = True
-            self.relay.pairs.discard(self)
-            for handle in (self.near, self.far):
+    def close(self) -> None:
+        if not self.closed:
+            self.closed = True
+            self.relay.connections.discard(self)
+            for handle in (self.source, self.target):
                 if handle is not None:
                     handle.finish()
 
 
-class _Near(Peer):
-    def __init__(self, pair: _Pair) -> None:
-        self.pair = pair
+class _SourcePeer(Peer):
+    """The relay's end of the connection from the source."""
+
+    def __init__(self, connection: _Connection) -> None:
+        self.connection = connection
 
     def up(self, handle: Handle) -> None:
-        pair = self.pair
-        pair.near = handle
-        if pair.relay.refusing:
-            pair.relay.count("refuse")
+        connection = self.connection
+        connection.source = handle
+        if connection.relay.refusing:
+            connection.relay.count("refuse")
             handle.close()
             return
-        pair.relay.pairs.add(pair)
-        pair.far = pair.relay.env.connect(pair.relay.target(), _Far(pair), pair.relay.source)
+        connection.relay.connections.add(connection)
+        connection.target = connection.relay.env.connect(
+            connection.relay.target(), _TargetPeer(connection), connection.relay.source
+        )
 
     def data(self, data: bytes) -> None:
-        if not self.pair.over:
-            self.pair.streams[THERE].come(data)
+        if not self.connection.closed:
+            self.connection.streams[THERE].receive(data)
 
     def eof(self) -> None:
-        self.pair.streams[THERE].end()
+        self.connection.streams[THERE].end()
 
     def lost(self, reason: str) -> None:
-        self.pair.streams[THERE].end()
+        self.connection.streams[THERE].end()
+
 
+class _TargetPeer(Peer):
+    """The relay's end of the connection to the target."""
 
-class _Far(Peer):
-    def __init__(self, pair: _Pair) -> None:
-        self.pair = pair
+    def __init__(self, connection: _Connection) -> None:
+        self.connection = connection
 
     def up(self, handle: Handle) -> None:
-        self.pair.up = True
+        self.connection.target_is_open = True
 
     def data(self, data: bytes) -> None:
-        if not self.pair.over:
-            self.pair.streams[BACK].come(data)
+        if not self.connection.closed:
+            self.connection.streams[BACK].receive(data)
 
     def eof(self) -> None:
-        self.pair.streams[BACK].end()
+        self.connection.streams[BACK].end()
 
     def lost(self, reason: str) -> None:
-        if not self.pair.up:
-            self.pair.shut()
+        if not self.connection.target_is_open:
+            self.connection.close()
         else:
-            self.pair.streams[BACK].end()
+            self.connection.streams[BACK].end()
--- a/banklift/rig/site.py
+++ b/banklift/rig/site.py
@@ -1,4 +1,9 @@
-"""The rig's site: one group of stand-ins, and policies whose parity shows at the members (judge.py)."""
+"""The rig's site: one group of emulated members, and two variants of its policy that an observer can tell apart.
+
+Keys are of two families, `a:` and `b:`. Under variant 0 any member may serve reads of `a:`, and only the primary those
+of `b:`; under variant 1 it is the other way round. So a read that a replica ran shows which variant the router applied
+(judge.py).
+"""
 
 from __future__ import annotations
 
@@ -16,13 +21,16 @@
 ]
 
 
-def policy(parity: int, times: float = 1.0, **more: Any) -> dict[str, Any]:
-    """Of that parity. `times`: of the usual deadlines. `more`: keys in place of the usual ones."""
+def policy(variant: int, time_factor: float = 1.0, **replaced: Any) -> dict[str, Any]:
+    """The policy of a variant, as its file has it.
+
+    `time_factor`: multiplies all aims and deadlines. `replaced`: top-level keys in place of the usual ones.
+    """
     classes = [
-        {**kind, "aim": times * kind["aim"], "deadline": times * kind["deadline"]}  # type: ignore[operator]
-        for kind in CLASSES
+        {**entry, "aim": time_factor * entry["aim"], "deadline": time_factor * entry["deadline"]}  # type: ignore[operator]
+        for entry in CLASSES
     ]
-    loose, tight = ("a:*", "b:*") if parity == 0 else ("b:*", "a:*")
+    loose, tight = ("a:*", "b:*") if variant == 0 else ("b:*", "a:*")
     return {
         "classes": classes,
         "default_read": "tight",
@@ -31,21 +39,27 @@
             {"to": "loose", "keys": loose, "commands": ["GET"]},
             {"to": "tight", "keys": tight, "commands": ["GET"]},
         ],
-        **more,
+        **replaced,
     }
 
 
-def text(parity: int, times: float = 1.0, **more: Any) -> str:
-    return json.dumps(policy(parity, times, **more))
+def policy_text(variant: int, time_factor: float = 1.0, **replaced: Any) -> str:
+    """The policy of a variant as the JSON text of its file; parameters as for `policy`."""
+    return json.dumps(policy(variant, time_factor, **replaced))
 
 
-def config(times: float = 1.0, replicas: int = 2) -> dict[str, Any]:
+def config(time_factor: float = 1.0, replicas: int = 2) -> dict[str, Any]:
+    """A router's configuration with policy variant 0, as its file has it; the members' addresses have no ports yet."""
     members = [
         {"name": f"m{place}", "address": "127.0.0.1:0", "primary": place == 0}
         for place in range(replicas + 1)
     ]
-    return {"groups": [{"name": "only", "slots": [[0, 16383]], "members": members}], **policy(0, times)}
+    return {
+        "groups": [{"name": "only", "slots": [[0, 16383]], "members": members}],
+        **policy(0, time_factor),
+    }
 
 
-def site(times: float = 1.0) -> Config:
-    return msgspec.convert(config(times), Config)
+def site(time_factor: float = 1.0) -> Config:
+    """`config` as the program's own type."""
+    return msgspec.convert(config(time_factor), Config)
--- a/banklift/rig/world.py
+++ b/banklift/rig/world.py
@@ -321,7 +321,7 @@
 
     def _until(self, member: Member, until: float) -> None:
         assert isinstance(member, Router) and member.state is not None and member.env is not None
-        self.judge.extended(self.world.now(), member.state, member.env.true(until))
+        self.judge.extended(self.world.now(), member.state, member.env.true_time(until))
 
     # ---- links
 
--- a/tests/test_rig_aggregator.py
+++ b/tests/test_rig_aggregator.py
@@ -1,8 +1,8 @@
-"""Lease aggregators as real processes with faults between them, judged from what clients got and members ran.
+"""Lease aggregators as real processes with injected faults; the invariants are checked on what clients and members saw.
 
-A fault belongs to a stage of a change: it is set when a voter is seen there, and has hit it when it is seen there after
-that too. Routers that are stopped meanwhile keep a change at its stage for as long as their leases; should a
-machine be too busy for that, the change is made once more.
+A fault is injected while a change is at a given stage: once a voter reports that stage. It counts only if the voter
+still reports the stage afterwards. Paused routers keep the change at its stage for as long as their leases last; on a
+machine that is too busy for that, another change is made.
 """
 
 from __future__ import annotations
@@ -16,121 +16,125 @@
 from banklift.rig.judge import Verdict
 from banklift.rig.processes import Rig
 from tests import rig_play
-from tests.rig_play import Act
+from tests.rig_play import Scenario
 
 LEASE = 4.0  # seconds
-ATTEMPTS = 6  # to hit a stage of a change
+ATTEMPTS = 6  # changes until a fault is injected at the wanted stage
 VOTERS = ["r0", "r1", "r2"]
-LEAVES = ["r3", "r4", "r5"]  # lease from aggregators
-ROUTERS = VOTERS + LEAVES
-BYSTANDERS = ("r4", "r5")
+AGGREGATED = ["r3", "r4", "r5"]  # lease from aggregators
+ROUTERS = VOTERS + AGGREGATED
+PAUSED = ("r4", "r5")  # routers that are paused to hold a change at a stage
 AGGREGATORS = ["a0", "a1"]
-CHECKED = "policy checked"  # in a router's log, once for each change
+POLICY_CHECKED = "policy checked"  # logged by a router once for each change
 
 
-def play(folder: Path, act: Act) -> Verdict:
-    """Start the fleet of these tests, let clients ask all routers, act, and judge what was seen."""
-    return rig_play.play(folder, ROUTERS, len(VOTERS), act, LEASE, AGGREGATORS)
+def play(folder: Path, scenario: Scenario) -> Verdict:
+    """Run a scenario on the fleet of these tests."""
+    return rig_play.play(folder, ROUTERS, len(VOTERS), scenario, LEASE, AGGREGATORS)
 
 
 @dataclass(slots=True)
-class Fault:
-    """One that is set in the middle of a change."""
+class Injection:
+    """What became of a fault that is to be injected in the middle of a change."""
 
-    set: bool = False
-    hit: bool = False  # the change was at that stage still when it had been set
+    injected: bool = False
+    hit_stage: bool = False  # the change was still at the wanted stage afterwards
 
 
 class Changes:
-    """Changes of policy, one after another, each of the other parity than the last one."""
+    """Makes changes of policy one after another, from one variant to the other."""
 
     def __init__(self, rig: Rig) -> None:
-        self.rig, self.parity = rig, 0
+        self.rig, self.variant = rig, 0
 
     async def make(self, *serving: str) -> None:
-        """One that takes hold; wait until these routers serve under it."""
+        """Make a change, and wait until these routers serve under it."""
         await self._set()
-        await self.rig.serves(*serving, parity=self.parity)
+        await self.rig.wait_until_serving(*serving, variant=self.variant)
 
     async def _set(self) -> None:
-        answer = await self.rig.set(1 - self.parity, by="r2")
+        answer = await self.rig.set_policy(1 - self.variant, by="r2")
         assert answer["result"] == "in force", answer
-        self.parity = 1 - self.parity
+        self.variant = 1 - self.variant
 
-    async def during(self, stage: Stage, act: Act, mend: Act) -> None:
-        """Act while a change is at that stage, until it was hit. All routers serve under the change without the mend,
-        which follows, and with it."""
+    async def inject_during(self, stage: Stage, inject: Scenario, repair: Scenario) -> None:
+        """Make changes until a fault was injected while one was at that stage. After each, all routers have to serve
+        under the change, both before the fault is repaired and afterwards."""
         for _ in range(ATTEMPTS):
-            fault = Fault()
+            injection = Injection()
             async with anyio.create_task_group() as both:
-                both.start_soon(self._fault, stage, act, fault)
+                both.start_soon(self._inject, stage, inject, injection)
                 await self._set()
-                if not fault.set:
-                    both.cancel_scope.cancel()  # the stage has passed unseen
-            await self.rig.serves(*ROUTERS, parity=self.parity)
-            if fault.set:
-                await mend(self.rig)
-                await self.rig.serves(*ROUTERS, parity=self.parity)
-            if fault.hit:
+                if not injection.injected:
+                    both.cancel_scope.cancel()  # the stage passed before it was seen
+            await self.rig.wait_until_serving(*ROUTERS, variant=self.variant)
+            if injection.injected:
+                await repair(self.rig)
+                await self.rig.wait_until_serving(*ROUTERS, variant=self.variant)
+            if injection.hit_stage:
                 return
-        raise AssertionError(f"no change was hit while it was {stage}")
-
-    async def _fault(self, stage: Stage, act: Act, fault: Fault) -> None:
-        """Two routers are stopped for the change to stay at the stage: one that has not been asked, and for the later
-        stage one that has accepted and holds a long lease."""
-        rig, (first, second) = self.rig, BYSTANDERS
-        checks = rig.log(second).count(CHECKED)
-        stopped = [first]
-        rig.stop(first)
+        raise AssertionError(f"no fault was injected while a change was {stage}")
+
+    async def _inject(self, stage: Stage, inject: Scenario, injection: Injection) -> None:
+        """Hold the change at the stage by pausing a router, and inject the fault.
+
+        CHECKING lasts while a router that was paused before the change does not answer. AGREED lasts while the lease
+        of a router runs that was paused after it had accepted the change.
+        """
+        rig, (first, second) = self.rig, PAUSED
+        checks = rig.log(second).count(POLICY_CHECKED)
+        paused = [first]
+        rig.pause(first)
         try:
-            change = await rig.until_stage(Stage.CHECKING, "r2")
+            change = await rig.wait_for_stage(Stage.CHECKING, "r2")
             if stage is Stage.AGREED:
-                await rig.until(lambda: rig.log(second).count(CHECKED) > checks)
-                rig.stop(second)
-                stopped = [second]
-                rig.go_on(first)
-                change = await rig.until_stage(stage, "r2")
-            fault.set = True
-            await act(rig)
-            fault.hit = await self._stands(change, stage)
+                await rig.wait_until(lambda: rig.log(second).count(POLICY_CHECKED) > checks)
+                rig.pause(second)
+                paused = [second]
+                rig.resume(first)
+                change = await rig.wait_for_stage(stage, "r2")
+            injection.injected = True
+            await inject(rig)
+            injection.hit_stage = await self._is_at_stage(change, stage)
         finally:
-            for name in stopped:
-                rig.go_on(name)
+            for name in paused:
+                rig.resume(name)
 
-    async def _stands(self, change: str, stage: Stage) -> bool:
+    async def _is_at_stage(self, change: str, stage: Stage) -> bool:
         shown = await self.rig.show("r2")
-        now = shown.state.change if shown is not None and shown.state is not None else None
-        return now is not None and now.id == change and now.stage is stage
+        current = shown.state.change if shown is not None and shown.state is not None else None
+        return current is not None and current.id == change and current.stage is stage
 
 
-def checked(verdict: Verdict, changes: int) -> None:
-    assert verdict.breaks == []
-    assert verdict.cases["changes in force"] >= changes
+def assert_sound(verdict: Verdict, changes: int) -> None:
+    """No invariant was violated, at least so many changes are in force, and the invariants were exercised."""
+    assert verdict.violations == []
+    assert verdict.case_counts["changes in force"] >= changes
     for case in (
-        "never mixed: sent once the first was served under the new policy",
-        "in force: sent once it was told",
+        "never mixed: requests sent after the first was served under the new policy",
+        "in force everywhere: requests sent after the change was reported as in force",
     ):
-        assert verdict.cases[case] > 20, verdict.cases
+        assert verdict.case_counts[case] > 20, verdict.case_counts
 
 
-def test_aggregators_are_killed_in_the_middle_of_changes(tmp_path: Path) -> None:
-    """A refusal reaches the operator; one is killed while a change is checked, and one while leases run out; a router
-    that ends by SIGTERM gives its lease back."""
+def test_aggregator_killed_in_the_middle_of_changes(tmp_path: Path) -> None:
+    """A router's refusal reaches the operator. The aggregator is killed while a change is checked, and while leases run
+    out. A router that ends by SIGTERM gives its lease back, and changes go on without it."""
 
-    async def act(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         changes = Changes(rig)
-        victim = rig.preferred("r3")
+        victim = rig.preferred_aggregator("r3")
         await changes.make(*ROUTERS)
 
         await rig.kill("r5")
         await rig.start("r5", descriptors=256)
-        await rig.serves("r5")
-        refused = await rig.set(1 - changes.parity, by="r2", limits={"clients": 5000})
+        await rig.wait_until_serving("r5")
+        refused = await rig.set_policy(1 - changes.variant, by="r2", limits={"clients": 5000})
         assert (refused["result"], refused["code"]) == ("aborted", 1), refused
         assert refused["reasons"] and all(
             reason.startswith("r5: $.limits.clients: 5000 clients") for reason in refused["reasons"]
         ), refused
-        await rig.serves(*ROUTERS, parity=changes.parity)
+        await rig.wait_until_serving(*ROUTERS, variant=changes.variant)
 
         async def kill(rig: Rig) -> None:
             await rig.kill(victim)
@@ -138,88 +142,94 @@
         async def start(rig: Rig) -> None:
             await rig.start(victim)
 
-        await changes.during(Stage.CHECKING, kill, start)
-        await changes.during(Stage.AGREED, kill, start)
+        await changes.inject_during(Stage.CHECKING, kill, start)
+        await changes.inject_during(Stage.AGREED, kill, start)
 
-        assert await rig.leave("r4") == 0
+        assert await rig.terminate("r4") == 0
         await changes.make("r0", "r1", "r2", "r3", "r5")
         await rig.start("r4")
-        await rig.serves(*ROUTERS, parity=changes.parity)
+        await rig.wait_until_serving(*ROUTERS, variant=changes.variant)
 
-    verdict = play(tmp_path, act)
-    checked(verdict, 4)
-    assert verdict.cases["changes not in force"] == 1
-    assert verdict.cases["nowhere: sent during or after a change that did not take hold"] > 20, verdict.cases
+    verdict = play(tmp_path, scenario)
+    assert_sound(verdict, 4)
+    assert verdict.case_counts["changes not in force"] == 1
+    assert verdict.case_counts["nowhere: requests sent during or after a change that is not in force"] > 20, (
+        verdict.case_counts
+    )
 
 
-def test_aggregators_are_stopped_and_cut_off_in_the_middle_of_changes(tmp_path: Path) -> None:
-    """One is stopped across the switch and goes on; one is cut off from the voters but not from its routers, one way
-    only, each way; a router moves to its standby while a change is checked, and while leases run out."""
+def test_aggregator_paused_and_partitioned_in_the_middle_of_changes(tmp_path: Path) -> None:
+    """The aggregator is paused across the switch to the new policy, and resumed. Its links to the voters are stalled in
+    one direction, then in the other, while its routers still reach it. A router moves to its standby aggregator while a
+    change is checked, and while leases run out."""
 
-    async def act(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         changes = Changes(rig)
-        aggregator = rig.preferred("r3")
+        aggregator = rig.preferred_aggregator("r3")
 
-        async def stop(rig: Rig) -> None:
-            rig.stop(aggregator)
+        async def pause(rig: Rig) -> None:
+            rig.pause(aggregator)
 
-        async def go_on(rig: Rig) -> None:
-            rig.go_on(aggregator)
+        async def resume(rig: Rig) -> None:
+            rig.resume(aggregator)
 
-        await changes.during(Stage.AGREED, stop, go_on)
+        await changes.inject_during(Stage.AGREED, pause, resume)
 
         async def heal(rig: Rig) -> None:
             rig.heal()
 
-        for way in ("there", "back"):
+        for direction in ("there", "back"):
 
-            async def cut_off(rig: Rig, way: str = way) -> None:
-                rig.cut_off(aggregator, way, others=VOTERS)
+            async def partition(rig: Rig, direction: str = direction) -> None:
+                rig.inject_link_fault(aggregator, direction, others=VOTERS)
 
-            await changes.during(Stage.CHECKING, cut_off, heal)
+            await changes.inject_during(Stage.CHECKING, partition, heal)
 
-        async def move(rig: Rig) -> None:
-            rig.cut_off("r3", others=[aggregator])
+        async def move_to_standby(rig: Rig) -> None:
+            rig.inject_link_fault("r3", others=[aggregator])
 
-        await changes.during(Stage.CHECKING, move, heal)
-        await changes.during(Stage.AGREED, move, heal)
+        await changes.inject_during(Stage.CHECKING, move_to_standby, heal)
+        await changes.inject_during(Stage.AGREED, move_to_standby, heal)
 
-    checked(play(tmp_path, act), 5)
+    assert_sound(play(tmp_path, scenario), 5)
 
 
-def test_routers_stop_without_their_aggregators_and_without_the_voters(tmp_path: Path) -> None:
-    """All aggregators are cut off from the voters, but not from the routers: these stop by themselves while a change
-    takes hold without them. The voters' majority is stopped: all routers stop, and go on with it."""
+def test_routers_refuse_requests_without_a_lease(tmp_path: Path) -> None:
+    """All aggregators hear nothing from the voters, while their routers still reach them: these routers refuse requests
+    once their leases have run out, and a change comes into force without them. Then a majority of the voters is paused:
+    all routers refuse requests until it is resumed."""
 
-    async def act(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         changes = Changes(rig)
         for name in AGGREGATORS:
-            rig.cut_off(name, "back", others=VOTERS)
+            rig.inject_link_fault(name, "back", others=VOTERS)
         await changes.make(*VOTERS)
-        await refused(rig, *LEAVES)
+        await wait_until_refusing(rig, *AGGREGATED)
         rig.heal()
-        await rig.serves(*ROUTERS, parity=changes.parity)
+        await rig.wait_until_serving(*ROUTERS, variant=changes.variant)
 
         for name in ("r0", "r1"):
-            rig.stop(name)
-        await refused(rig, "r2", *LEAVES)
+            rig.pause(name)
+        await wait_until_refusing(rig, "r2", *AGGREGATED)
         for name in ("r0", "r1"):
-            rig.go_on(name)
-        await rig.serves(*ROUTERS, parity=changes.parity)
+            rig.resume(name)
+        await rig.wait_until_serving(*ROUTERS, variant=changes.variant)
         await changes.make(*ROUTERS)
 
-    checked(play(tmp_path, act), 2)
+    assert_sound(play(tmp_path, scenario), 2)
 
 
-async def refused(rig: Rig, *names: str) -> None:
-    """Wait until each has refused a request that was sent from now on."""
+async def wait_until_refusing(rig: Rig, *names: str) -> None:
+    """Wait until each router has refused a request that was sent after this call."""
     begin = rig.env.now()
 
-    def shown() -> bool:
-        sent = {
-            entry.key: entry.router for entry in rig.trace.entries if entry.k == "sent" and entry.t >= begin
+    def all_refused() -> bool:
+        routers = {
+            entry.key: entry.router
+            for entry in rig.trace.entries
+            if entry.kind == "sent" and entry.time >= begin
         }
-        answered = [entry for entry in rig.trace.entries if entry.k == "got" and entry.answer == "refused"]
-        return set(names) <= {sent[entry.key] for entry in answered if entry.key in sent}
+        refusals = [entry for entry in rig.trace.entries if entry.kind == "got" and entry.answer == "refused"]
+        return set(names) <= {routers[entry.key] for entry in refusals if entry.key in routers}
 
-    await rig.until(shown)
+    await rig.wait_until(all_refused)
--- a/tests/test_rig_faults.py
+++ b/tests/test_rig_faults.py
@@ -1,4 +1,5 @@
-"""Faults within real processes: kills at named steps, disks and clocks that go wrong; judged from outside."""
+"""Faults injected into real processes: kills at named points, faulty disks and clocks. Invariants are checked on what
+clients and members saw."""
 
 from __future__ import annotations
 
@@ -7,143 +8,153 @@
 import pytest
 
 from banklift.fleet.state import Stage
-from banklift.rig.process_faults import Disk, ProcessFaults, Step
+from banklift.rig.process_faults import DiskMode, KillPoint, ProcessFaults
 from banklift.rig.processes import Rig
 from tests.rig_play import play
 
 VOTERS = ["r0", "r1", "r2"]
 ROUTERS = [*VOTERS, "r3"]
-JUMP = 15.0  # seconds: longer than any lease
-ATTEMPTS = 6  # changes until one has the step; a write may hold two of them where the machine is busy
-VOTES, FAILED, WRITTEN_AGAIN = "votes", "disk in trouble", "disk written again"  # in a voter's log
-
-
-async def starts_to_vote(rig: Rig, name: str, faults: ProcessFaults) -> None:
+CLOCK_JUMP = 15.0  # seconds: longer than any lease
+ATTEMPTS = (
+    6  # changes until a voter is killed; on a busy machine one write may hold two steps, and skip the point
+)
+# events in a voter's log
+VOTES = "votes"
+DISK_FAILED = "disk in trouble"
+DISK_WRITTEN_AGAIN = "disk written again"
+
+
+async def start_voting(rig: Rig, name: str, faults: ProcessFaults) -> None:
+    """Start a voter, and wait until it votes and serves."""
     votes = rig.log(name).count(VOTES)
     await rig.start(name, faults=faults)
-    await rig.until(lambda: rig.log(name).count(VOTES) > votes)
-    await rig.serves(name)
+    await rig.wait_until(lambda: rig.log(name).count(VOTES) > votes)
+    await rig.wait_until_serving(name)
 
 
-async def killed_in_a_change(rig: Rig, name: str, step: Step, stage: Stage, parity: int) -> int:
-    """Make changes until a voter was killed at that step; all of them take hold. The parity after the last one."""
+async def kill_in_a_change(rig: Rig, name: str, kill_point: KillPoint, stage: Stage, variant: int) -> int:
+    """Make changes until a voter was killed at that point; all have to come into force. The variant of the last one."""
     await rig.kill(name)
-    await starts_to_vote(rig, name, ProcessFaults(kill=step, stage=stage))
+    await start_voting(rig, name, ProcessFaults(kill=kill_point, stage=stage))
     process = rig.processes[name]
     for _ in range(ATTEMPTS):
-        parity = 1 - parity
-        answer = await rig.set(parity)
-        assert answer["result"] == "in force", (step, stage, answer)
-        await rig.serves(*(other for other in ROUTERS if other != name), parity=parity)
+        variant = 1 - variant
+        answer = await rig.set_policy(variant)
+        assert answer["result"] == "in force", (kill_point, stage, answer)
+        await rig.wait_until_serving(*(other for other in ROUTERS if other != name), variant=variant)
         if process.returncode is not None:
             break
-    await rig.died(name)
-    return parity
+    await rig.wait_until_killed(name)
+    return variant
 
 
 @pytest.mark.parametrize("victim", ["r0", "r1"], ids=["driver", "other-voter"])
-def test_a_voter_that_is_killed_between_two_steps_of_a_change(tmp_path: Path, victim: str) -> None:
-    """The first voter drives, as operators ask it first: its tool has the outcome from another one, by the same id."""
-    steps = [
-        (Step.PROMISE_WRITTEN, Stage.CHECKING),
-        (Step.ACCEPTANCE_NOT_WRITTEN, Stage.AGREED),
-        (Step.ACCEPTANCE_HALF_WRITTEN, Stage.CHECKING),
-        (Step.ACCEPTANCE_WRITTEN, Stage.AGREED),
+def test_voter_killed_between_two_steps_of_a_change(tmp_path: Path, victim: str) -> None:
+    """A voter is killed before, during and after a write of its state. The first voter drives the changes, as operators
+    ask it first; when it is killed, the operator's tool gets the outcome from another voter, by the same id."""
+    kills = [
+        (KillPoint.PROMISE_WRITTEN, Stage.CHECKING),
+        (KillPoint.ACCEPTANCE_NOT_WRITTEN, Stage.AGREED),
+        (KillPoint.ACCEPTANCE_HALF_WRITTEN, Stage.CHECKING),
+        (KillPoint.ACCEPTANCE_WRITTEN, Stage.AGREED),
     ]
 
-    async def act(rig: Rig) -> None:
-        parity = 0
-        for step, stage in steps:
-            parity = await killed_in_a_change(rig, victim, step, stage, parity)
+    async def scenario(rig: Rig) -> None:
+        variant = 0
+        for kill_point, stage in kills:
+            variant = await kill_in_a_change(rig, victim, kill_point, stage, variant)
             await rig.start(victim)
-            await rig.serves(*ROUTERS, parity=parity)
+            await rig.wait_until_serving(*ROUTERS, variant=variant)
 
-    verdict = play(tmp_path, ROUTERS, len(VOTERS), act)
-    assert verdict.breaks == []
-    assert verdict.cases["changes in force"] >= len(steps)
+    verdict = play(tmp_path, ROUTERS, len(VOTERS), scenario)
+    assert verdict.violations == []
+    assert verdict.case_counts["changes in force"] >= len(kills)
 
 
-@pytest.mark.parametrize("disk", [Disk.EIO, Disk.FULL, Disk.HANGS])
-def test_changes_wait_while_two_of_three_voters_can_not_write(tmp_path: Path, disk: Disk) -> None:
-    """With one such disk the others decide; with two nobody does, and once one of them writes again, it goes on."""
+@pytest.mark.parametrize("disk", [DiskMode.EIO, DiskMode.FULL, DiskMode.HANGS])
+def test_changes_wait_while_two_of_three_voters_can_not_write(tmp_path: Path, disk: DiskMode) -> None:
+    """With one faulty disk the other two voters are a majority, and a change comes into force. With two faulty disks
+    its outcome is unknown and routers serve on, until one of the disks works again."""
 
-    async def act(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         for name in ("r1", "r2"):
             await rig.kill(name)
-            await starts_to_vote(rig, name, ProcessFaults())
-        rig.fail("r1", ProcessFaults(disk=disk))
-        assert (await rig.set(1))["result"] == "in force"
-        await rig.serves(*ROUTERS, parity=1)
+            await start_voting(rig, name, ProcessFaults())
+        rig.set_faults("r1", ProcessFaults(disk=disk))
+        assert (await rig.set_policy(1))["result"] == "in force"
+        await rig.wait_until_serving(*ROUTERS, variant=1)
 
-        rig.fail("r2", ProcessFaults(disk=disk))
+        rig.set_faults("r2", ProcessFaults(disk=disk))
         change = f"{await version(rig)}-{disk}"
-        unknown = await rig.set(0, "--wait", "5", "--id", change)
+        unknown = await rig.set_policy(0, "--wait", "5", "--id", change)
         assert (unknown["result"], unknown["code"]) == ("unknown", 3), unknown
-        await rig.serves(*ROUTERS, parity=1)  # none is fenced by it
+        await rig.wait_until_serving(*ROUTERS, variant=1)  # the pending change ends no lease
 
-        rig.fail("r1", ProcessFaults())
-        again = await rig.set(0, "--wait", "5", "--id", change)
+        rig.set_faults("r1", ProcessFaults())
+        again = await rig.set_policy(0, "--wait", "5", "--id", change)
         assert again["result"] == "in force", again
-        await rig.serves(*ROUTERS, parity=0)
-        if disk is not Disk.HANGS:  # that one only returns late
-            assert FAILED in rig.log("r1") and WRITTEN_AGAIN in rig.log("r1")
+        await rig.wait_until_serving(*ROUTERS, variant=0)
+        if disk is not DiskMode.HANGS:  # a sync that hangs reports no error
+            assert DISK_FAILED in rig.log("r1") and DISK_WRITTEN_AGAIN in rig.log("r1")
 
-    verdict = play(tmp_path, ROUTERS, len(VOTERS), act)
-    assert verdict.breaks == []
+    verdict = play(tmp_path, ROUTERS, len(VOTERS), scenario)
+    assert verdict.violations == []
 
 
 async def version(rig: Rig) -> int:
-    state = (await rig.fleet("r0"))["state"]
+    """The version of the fleet's state."""
+    state = (await rig.show_fleet("r0"))["state"]
     return int(state["version"])
 
 
-def test_a_voter_whose_disk_kept_nothing_of_what_it_said(tmp_path: Path) -> None:
-    """Its syncs lie through two changes, then it is killed: it asks the others what it has promised before it votes."""
+def test_voter_whose_disk_lost_all_writes(tmp_path: Path) -> None:
+    """A voter's disk reports writes as done and stores nothing, through three changes; then the voter is killed and
+    started again. It must learn from the other voters what it promised before it votes."""
 
-    async def act(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         await rig.kill("r1")
-        await starts_to_vote(rig, "r1", ProcessFaults())
-        kept = {path.name: path.read_bytes() for path in rig.state("r1").iterdir()}
-        rig.fail("r1", ProcessFaults(disk=Disk.LIES))
-        for parity in (1, 0, 1):
-            assert (await rig.set(parity))["result"] == "in force"
-            await rig.serves(*ROUTERS, parity=parity)
-        assert {path.name: path.read_bytes() for path in rig.state("r1").iterdir()} == kept
+        await start_voting(rig, "r1", ProcessFaults())
+        stored = {path.name: path.read_bytes() for path in rig.state_folder("r1").iterdir()}
+        rig.set_faults("r1", ProcessFaults(disk=DiskMode.LIES))
+        for variant in (1, 0, 1):
+            assert (await rig.set_policy(variant))["result"] == "in force"
+            await rig.wait_until_serving(*ROUTERS, variant=variant)
+        assert {path.name: path.read_bytes() for path in rig.state_folder("r1").iterdir()} == stored
         await rig.kill("r1")
-        await rig.kill("r2")  # the voters that are up are now one that knows and one that lost it
+        await rig.kill("r2")  # so that of the voters that know the last changes only r0 stays up
         await rig.start("r2")
         await rig.start("r1")
-        await rig.serves(*ROUTERS, parity=1)
-        assert (await rig.set(0))["result"] == "in force"
-        await rig.serves(*ROUTERS, parity=0)
+        await rig.wait_until_serving(*ROUTERS, variant=1)
+        assert (await rig.set_policy(0))["result"] == "in force"
+        await rig.wait_until_serving(*ROUTERS, variant=0)
 
-    assert play(tmp_path, ROUTERS, len(VOTERS), act).breaks == []
+    assert play(tmp_path, ROUTERS, len(VOTERS), scenario).violations == []
 
 
-def test_clocks_with_rates_of_their_own_and_jumps(tmp_path: Path) -> None:
-    """Rates within the stated drift; clocks that jump past the end of all leases, as of a machine that was suspended;
-    a wall clock that goes back over a restart."""
+def test_clocks_that_drift_and_jump(tmp_path: Path) -> None:
+    """Clocks run at different rates within the stated drift. A clock jumps past the end of all leases, as after a
+    suspend. A wall clock goes back by an hour over a restart."""
     rates = {"r0": 1.004, "r1": 0.996, "r2": 1.0, "r3": 0.996}
 
-    async def act(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         for name, rate in rates.items():
             await rig.kill(name)
-            await rig.start(name, faults=ProcessFaults(clock_rate=rate, clock_jump=JUMP))
-            await rig.serves(*ROUTERS)
-        parity = 0
+            await rig.start(name, faults=ProcessFaults(clock_rate=rate, clock_jump=CLOCK_JUMP))
+            await rig.wait_until_serving(*ROUTERS)
+        variant = 0
         for name in ("", "r1", "r3", "r0"):
-            parity = 1 - parity
+            variant = 1 - variant
             if name:
-                rig.jump(name)
-            assert (await rig.set(parity))["result"] == "in force"
-            await rig.serves(*ROUTERS, parity=parity)
+                rig.jump_clock(name)
+            assert (await rig.set_policy(variant))["result"] == "in force"
+            await rig.wait_until_serving(*ROUTERS, variant=variant)
         for name in ("r3", "r1"):
             await rig.kill(name)
             await rig.start(name, faults=ProcessFaults(wall_offset=-3600.0))
-            await rig.serves(*ROUTERS, parity=parity)
-        assert (await rig.set(1 - parity))["result"] == "in force"
-        await rig.serves(*ROUTERS, parity=1 - parity)
+            await rig.wait_until_serving(*ROUTERS, variant=variant)
+        assert (await rig.set_policy(1 - variant))["result"] == "in force"
+        await rig.wait_until_serving(*ROUTERS, variant=1 - variant)
 
-    verdict = play(tmp_path, ROUTERS, len(VOTERS), act)
-    assert verdict.breaks == []
-    assert verdict.cases["changes in force"] == 5
+    verdict = play(tmp_path, ROUTERS, len(VOTERS), scenario)
+    assert verdict.violations == []
+    assert verdict.case_counts["changes in force"] == 5
--- a/tests/test_rig_fleet.py
+++ b/tests/test_rig_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes with faults between them, judged from outside: from what clients got and members ran."""
+"""A fleet of real processes with injected faults; the invariants are checked on what clients and members saw."""
 
 from __future__ import annotations
 
@@ -7,72 +7,73 @@
 
 import anyio
 
-from banklift.rig.processes import Refused, Rig
+from banklift.rig.processes import Rig, StartFailed
 from tests.rig_play import play
 
 
-def test_a_change_takes_hold_everywhere_or_nowhere(tmp_path: Path) -> None:
-    """Five processes, three of them voters: a change that takes hold on all, one that a router refuses, one while a
-    router is down, one while a voter is killed."""
+def test_change_is_in_force_everywhere_or_nowhere(tmp_path: Path) -> None:
+    """A fleet of five routers, three of them voters, makes a change that all accept, one that a router refuses, one
+    while a router is down, and one in the middle of which a voter is killed."""
     names = ["r0", "r1", "r2", "r3", "r4"]
 
-    async def act(rig: Rig) -> None:
-        assert (await rig.set(1))["result"] == "in force"
-        await rig.serves(*names, parity=1)
+    async def scenario(rig: Rig) -> None:
+        assert (await rig.set_policy(1))["result"] == "in force"
+        await rig.wait_until_serving(*names, variant=1)
 
         await rig.kill("r4")
         await rig.start("r4", descriptors=256)
-        await rig.serves("r4")
-        refused = await rig.set(0, limits={"clients": 5000})
+        await rig.wait_until_serving("r4")
+        refused = await rig.set_policy(0, limits={"clients": 5000})
         assert (refused["result"], refused["code"]) == ("aborted", 1)
         assert any(
             reason.startswith("r4: $.limits.clients: 5000 clients") for reason in refused["reasons"]
         ), refused
         assert all(reason.startswith("r4: ") for reason in refused["reasons"])
-        await rig.serves(*names, parity=1)
+        await rig.wait_until_serving(*names, variant=1)
 
         await rig.kill("r4")
-        assert (await rig.set(0))["result"] == "in force"
+        assert (await rig.set_policy(0))["result"] == "in force"
         await rig.start("r4")
-        await rig.serves(*names, parity=0)
+        await rig.wait_until_serving(*names, variant=0)
 
         checked = rig.log("r1").count("policy checked")
 
-        async def kill() -> None:  # in the middle of the change
-            await rig.until(lambda: rig.log("r1").count("policy checked") > checked)
+        async def kill_in_the_change() -> None:
+            await rig.wait_until(lambda: rig.log("r1").count("policy checked") > checked)
             await rig.kill("r1")
 
         async with anyio.create_task_group() as both:
-            both.start_soon(kill)
-            assert (await rig.set(1))["result"] == "in force"
-        await rig.serves("r0", "r2", "r3", "r4", parity=1)
+            both.start_soon(kill_in_the_change)
+            assert (await rig.set_policy(1))["result"] == "in force"
+        await rig.wait_until_serving("r0", "r2", "r3", "r4", variant=1)
         await rig.start("r1")
-        await rig.serves(*names, parity=1)
+        await rig.wait_until_serving(*names, variant=1)
 
-    verdict = play(tmp_path, names, 3, act)
-    assert verdict.breaks == []
-    assert verdict.cases["changes in force"] == 3 and verdict.cases["changes not in force"] == 1
+    verdict = play(tmp_path, names, 3, scenario)
+    assert verdict.violations == []
+    assert verdict.case_counts["changes in force"] == 3 and verdict.case_counts["changes not in force"] == 1
     for case in (
-        "never mixed: sent once the first was served under the new policy",
-        "in force: sent once it was told",
-        "nowhere: sent during or after a change that did not take hold",
+        "never mixed: requests sent after the first was served under the new policy",
+        "in force everywhere: requests sent after the change was reported as in force",
+        "nowhere: requests sent during or after a change that is not in force",
     ):
-        assert verdict.cases[case] > 20, verdict.cases
+        assert verdict.case_counts[case] > 20, verdict.case_counts
 
 
-def test_routers_that_do_not_belong_are_turned_away(tmp_path: Path) -> None:
-    """Two of one name, other voters, another fleet, another lease, the state of another voter or of a newer build."""
+def test_routers_with_a_conflicting_configuration_are_refused(tmp_path: Path) -> None:
+    """A router ends at its start, with a reason, if another one has its name, if it is configured with other voters,
+    another fleet or another lease, or if its state folder holds the state of another voter."""
     names = ["r0", "r1", "r2", "r3"]
 
-    async def act(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         async def refused(name: str, **changes: Any) -> str:
             process = rig.processes.get(name)
             try:
                 await rig.start(name, **changes)
-            except Refused as error:
+            except StartFailed as error:
                 assert error.code == 2, error.text
                 return error.text
-            with anyio.fail_after(60):  # it listened, and was told only then
+            with anyio.fail_after(60):  # it listened before the fleet refused it
                 assert await rig.processes[name].wait() == 2
             text = rig.log(name)
             if process is not None:
@@ -83,7 +84,7 @@
         assert "name: a router 'r3' is here already" in await refused("r3", listen="127.0.0.1:0")
         rig.addresses.update(addresses)
         voters = {**{name: f"127.0.0.1:{port}" for name, port in rig.ports.items()}}
-        for name, fleet, words in (
+        for name, fleet, reason in (
             (
                 "x1",
                 {"voters": {"r0": voters["r0"], "r1": voters["r1"]}},
@@ -95,122 +96,127 @@
             rig.names.append(name)
             for voter in rig.voters:
                 rig.relays[name, voter] = rig.relays["r3", voter]
-            assert words in await refused(name, fleet=fleet)
+            assert reason in await refused(name, fleet=fleet)
         await rig.kill("r2")
         await rig.kill("r1")
-        rig.state("r2").rename(rig.folder / "r2.kept")
-        rig.state("r1").rename(rig.state("r2"))
-        before = {path.name: path.read_bytes() for path in rig.state("r2").iterdir()}
+        rig.state_folder("r2").rename(rig.folder / "r2.kept")
+        rig.state_folder("r1").rename(rig.state_folder("r2"))
+        before = {path.name: path.read_bytes() for path in rig.state_folder("r2").iterdir()}
         assert "the state of voter 'r1' of fleet 'rig', and this is 'r2'" in await refused("r2")
-        assert {
-            path.name: path.read_bytes() for path in rig.state("r2").iterdir()
-        } == before  # nothing overwritten
-        rig.state("r2").rename(rig.state("r1"))
-        (rig.folder / "r2.kept").rename(rig.state("r2"))
+        after = {path.name: path.read_bytes() for path in rig.state_folder("r2").iterdir()}
+        assert after == before  # the other voter's state was not overwritten
+        rig.state_folder("r2").rename(rig.state_folder("r1"))
+        (rig.folder / "r2.kept").rename(rig.state_folder("r2"))
         await rig.start("r1")
         await rig.start("r2")
-        await rig.serves("r0", "r1", "r2", "r3")
+        await rig.wait_until_serving("r0", "r1", "r2", "r3")
 
-    assert play(tmp_path, names, 3, act).breaks == []
+    assert play(tmp_path, names, 3, scenario).violations == []
 
 
-def test_stopped_deaf_and_restarted_routers_serve_nothing_old(tmp_path: Path) -> None:
-    """A router stopped by SIGSTOP across the moment and gone on; one that hears nothing though it is heard; all voters
-    killed at once, one of them started on an empty folder and one on the state of before the last change."""
+def test_paused_partitioned_and_restarted_routers_serve_no_old_policy(tmp_path: Path) -> None:
+    """A router is paused by SIGSTOP across a change and resumed. A router receives nothing, though the others receive
+    what it sends. All voters are killed at once, and one of them is started with its state from before the last change.
+    A voter is started with an empty state folder."""
     names = ["r0", "r1", "r2", "r3", "r4"]
 
-    async def act(rig: Rig) -> None:
-        rig.stop("r4")
-        assert (await rig.set(1))["result"] == "in force"
-        rig.go_on("r4")  # clients had gone on asking it
-        await rig.serves(*names, parity=1)
+    async def scenario(rig: Rig) -> None:
+        rig.pause("r4")
+        assert (await rig.set_policy(1))["result"] == "in force"
+        rig.resume("r4")  # its client has sent requests all the time
+        await rig.wait_until_serving(*names, variant=1)
 
-        rig.cut_off("r3", "back")
-        assert (await rig.set(0))["result"] == "in force"
+        rig.inject_link_fault("r3", "back")
+        assert (await rig.set_policy(0))["result"] == "in force"
         rig.heal()
-        await rig.serves(*names, parity=0)
+        await rig.wait_until_serving(*names, variant=0)
 
-        yesterday = {path.name: path.read_bytes() for path in rig.state("r1").iterdir()}
-        assert (await rig.set(1))["result"] == "in force"
-        await rig.serves(*names, parity=1)
+        earlier = {path.name: path.read_bytes() for path in rig.state_folder("r1").iterdir()}
+        assert (await rig.set_policy(1))["result"] == "in force"
+        await rig.wait_until_serving(*names, variant=1)
         for name in ("r0", "r1", "r2"):
             await rig.kill(name)
-        for path in rig.state("r1").iterdir():
-            path.write_bytes(yesterday[path.name])
+        for path in rig.state_folder("r1").iterdir():
+            path.write_bytes(earlier[path.name])
         async with anyio.create_task_group() as starts:
             for name in ("r0", "r1", "r2"):
                 starts.start_soon(rig.start, name)
-        await rig.serves(*names, parity=1)
-        assert (await rig.set(0))["result"] == "in force"
-        await rig.serves(*names, parity=0)
+        await rig.wait_until_serving(*names, variant=1)
+        assert (await rig.set_policy(0))["result"] == "in force"
+        await rig.wait_until_serving(*names, variant=0)
 
         await rig.kill("r0")
-        for path in rig.state("r0").iterdir():
+        for path in rig.state_folder("r0").iterdir():
             path.unlink()
         await rig.start("r0")
-        await rig.serves(*names, parity=0)
-        assert (await rig.set(1))["result"] == "in force"
-        await rig.serves(*names, parity=1)
-
-    verdict = play(tmp_path, names, 3, act)
-    assert verdict.breaks == []
-    assert verdict.cases["changes in force"] == 5
-    assert verdict.cases["never mixed: sent once the first was served under the new policy"] > 100, (
-        verdict.cases
-    )
-
-
-def test_an_answer_that_is_lost_is_had_by_asking_again_and_two_at_once_are_told_apart(tmp_path: Path) -> None:
+        await rig.wait_until_serving(*names, variant=0)
+        assert (await rig.set_policy(1))["result"] == "in force"
+        await rig.wait_until_serving(*names, variant=1)
+
+    verdict = play(tmp_path, names, 3, scenario)
+    assert verdict.violations == []
+    assert verdict.case_counts["changes in force"] == 5
+    assert (
+        verdict.case_counts["never mixed: requests sent after the first was served under the new policy"]
+        > 100
+    ), verdict.case_counts
+
+
+def test_change_is_made_once_however_often_it_is_requested(tmp_path: Path) -> None:
+    """A change that is requested while another one is under way is refused. One that is requested again by the id of a
+    change that was made gets its outcome, and is not made again. The tools that show and check policies work, and
+    policies with errors are refused."""
     names = ["r0", "r1", "r2", "r3"]
 
-    async def act(rig: Rig) -> None:
-        version = (await rig.fleet("r2"))["state"]["version"]
-        rig.stop("r3")  # so that a change takes as long as its lease
+    async def scenario(rig: Rig) -> None:
+        version = (await rig.show_fleet("r2"))["state"]["version"]
+        rig.pause("r3")  # so that the change waits for the end of r3's lease
         answers: list[dict[str, Any]] = []
 
-        async def late() -> None:
-            answers.append(await rig.set(1))
+        async def request_change() -> None:
+            answers.append(await rig.set_policy(1))
 
         async with anyio.create_task_group() as both:
-            both.start_soon(late)
+            both.start_soon(request_change)
             checked = rig.log("r1").count("policy checked")
-            await rig.until(lambda: rig.log("r1").count("policy checked") > checked)
-            other = await rig.banklift(
+            await rig.wait_until(lambda: rig.log("r1").count("policy checked") > checked)
+            other = await rig.run_tool(
                 "policy",
                 "set",
                 str(next(rig.folder.glob("policy-*.json"))),
                 "--config",
-                str(rig.file("r2")),
+                str(rig.write_config("r2")),
                 "--json",
                 "--id",
                 f"{version}-other",
             )
-            # it is under way yet, or over on a slow machine: the other one was made for what was there before
+            # the first change is still under way; or, on a slow machine, it is over, and the other request is for the
+            # version before it
             assert other[0] == 4 and ("under way" in other[2] or f"made for version {version}" in other[2]), (
                 other
             )
         first = answers[0]
         assert first["result"] == "in force"
-        rig.go_on("r3")
+        rig.resume("r3")
         path = next(rig.folder.glob("policy-*.json"))
-        again = await rig.banklift(
-            "policy", "set", str(path), "--config", str(rig.file("r2")), "--json", "--id", first["id"]
+        again = await rig.run_tool(
+            "policy", "set", str(path), "--config", str(rig.write_config("r2")), "--json", "--id", first["id"]
         )
         assert again[0] == 0 and '"in force"' in again[1], again
-        shown = await rig.banklift("policy", "show", "--config", str(rig.file("r2")))
-        assert '"epoch": 2' in shown[1], shown  # made once
-        dry = await rig.banklift("policy", "check", str(path), "--config", str(rig.file("r2")))
+        shown = await rig.run_tool("policy", "show", "--config", str(rig.write_config("r2")))
+        assert '"epoch": 2' in shown[1], shown  # the change was made once
+        dry = await rig.run_tool("policy", "check", str(path), "--config", str(rig.write_config("r2")))
         assert dry[0] == 0 and dry[1].startswith("fine"), dry
-        told = await rig.fleet()
-        assert {holder["name"] for holder in told["holders"]} == set(names) and told["state"]["epoch"] == 2
+        fleet = await rig.show_fleet()
+        assert {holder["name"] for holder in fleet["holders"]} == set(names) and fleet["state"]["epoch"] == 2
         bad = rig.folder / "bad.json"
-        for text, words in (
+        for text, reason in (
             ("{", "bad.json"),
             ('{"classes": []}', "missing required field"),
             ('{"listen": "x:1"}', "a policy can't change it"),
         ):
             bad.write_text(text)
-            refused = await rig.banklift("policy", "set", str(bad), "--config", str(rig.file("r2")))
-            assert refused[0] == 2 and words in refused[2], refused
+            refused = await rig.run_tool("policy", "set", str(bad), "--config", str(rig.write_config("r2")))
+            assert refused[0] == 2 and reason in refused[2], refused
 
-    assert play(tmp_path, names, 3, act).breaks == []
+    assert play(tmp_path, names, 3, scenario).violations == []
--- a/tests/test_rig_splits.py
+++ b/tests/test_rig_splits.py
@@ -1,4 +1,5 @@
-"""Fleets of real processes that are split, flap or have a slow voter; judged from outside."""
+"""Fleets of real processes with partitions, flapping links, voters rolled back or a slow voter. Invariants are checked
+on what clients and members saw."""
 
 from __future__ import annotations
 
@@ -10,112 +11,121 @@
 from banklift.rig.processes import Rig
 from tests.rig_play import play
 
-MANY = 40  # routers beside the voters
-FLAPS = 30
-CHANGES = 4
-NOT_MADE = "not made"
+ROUTERS_BESIDE_VOTERS = 40
+FLAPS = 30  # links that break, one after another
+CHANGES_WHILE_FLAPPING = 4
+NOT_MADE = "not made"  # result of a change that was refused as the state has moved on
 
 
-def test_two_of_five_voters_are_set_back_to_an_earlier_disk(tmp_path: Path) -> None:
+def test_two_of_five_voters_are_rolled_back(tmp_path: Path) -> None:
+    """Two voters are killed and started with their state from before three changes. They must learn the changes from
+    the others: with one more voter killed, they are half of the voters that are up."""
     voters = ["r0", "r1", "r2", "r3", "r4"]
     names = [*voters, "r5"]
 
-    async def act(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         earlier = {
-            name: {path.name: path.read_bytes() for path in rig.state(name).iterdir()}
+            name: {path.name: path.read_bytes() for path in rig.state_folder(name).iterdir()}
             for name in ("r1", "r3")
         }
-        for parity in (1, 0, 1):
-            assert (await rig.set(parity))["result"] == "in force"
-            await rig.serves(*names, parity=parity)
+        for variant in (1, 0, 1):
+            assert (await rig.set_policy(variant))["result"] == "in force"
+            await rig.wait_until_serving(*names, variant=variant)
         for name in earlier:
             await rig.kill(name)
         for name, files in earlier.items():
-            for path in rig.state(name).iterdir():
+            for path in rig.state_folder(name).iterdir():
                 path.write_bytes(files[path.name])
         async with anyio.create_task_group() as starts:
             for name in earlier:
                 starts.start_soon(rig.start, name)
-        await rig.serves(*names, parity=1)
-        await rig.kill("r0")  # those that were set back are half of the voters that are left
-        assert (await rig.set(0, by="r5"))["result"] == "in force"
-        await rig.serves(*names[1:], parity=0)
+        await rig.wait_until_serving(*names, variant=1)
+        await rig.kill("r0")  # now two of the four voters that are up were rolled back
+        assert (await rig.set_policy(0, by="r5"))["result"] == "in force"
+        await rig.wait_until_serving(*names[1:], variant=0)
         await rig.start("r0")
-        await rig.serves(*names, parity=0)
+        await rig.wait_until_serving(*names, variant=0)
 
-    assert play(tmp_path, names, len(voters), act).breaks == []
+    assert play(tmp_path, names, len(voters), scenario).violations == []
 
 
-def test_the_minority_of_a_split_can_not_make_a_change(tmp_path: Path) -> None:
-    """A voter is cut off from the two others, and an operator beside it asks for a change; meanwhile one that reaches
-    the others makes another."""
+def test_minority_of_a_partition_can_not_make_a_change(tmp_path: Path) -> None:
+    """A voter is partitioned from the other two. An operator that reaches only this voter gets no outcome for a change,
+    while one that reaches the other voters makes another change. After the partition heals, the first change is
+    refused, as it was requested for a version that is over."""
     names = ["r0", "r1", "r2", "r3"]
 
-    async def act(rig: Rig) -> None:
-        version = (await rig.fleet("r3"))["state"]["version"]
-        rig.cut_off("r0")
-        answer = await rig.set(1, "--wait", "1", "--id", f"{version}-minority", by="r0")
+    async def scenario(rig: Rig) -> None:
+        version = (await rig.show_fleet("r3"))["state"]["version"]
+        rig.inject_link_fault("r0")
+        answer = await rig.set_policy(1, "--wait", "1", "--id", f"{version}-minority", by="r0")
         assert (answer["result"], answer["code"]) == ("unknown", 3), answer
-        assert (await rig.set(1, by="r3"))["result"] == "in force"  # by what this operator reaches
-        await rig.serves("r1", "r2", "r3", parity=1)
+        assert (await rig.set_policy(1, by="r3"))[
+            "result"
+        ] == "in force"  # through the voters that this operator reaches
+        await rig.wait_until_serving("r1", "r2", "r3", variant=1)
         rig.heal()
-        await rig.serves(*names, parity=1)
-        late = await rig.set(0, "--id", f"{version}-minority", by="r0")
-        assert (late["result"], late["code"]) == ("not made", 4), late  # made for a state that is over
-        await rig.serves(*names, parity=1)
+        await rig.wait_until_serving(*names, variant=1)
+        late = await rig.set_policy(0, "--id", f"{version}-minority", by="r0")
+        assert (late["result"], late["code"]) == ("not made", 4), late  # requested for a version that is over
+        await rig.wait_until_serving(*names, variant=1)
 
-    verdict = play(tmp_path, names, 3, act)
-    assert verdict.breaks == []
-    assert verdict.cases["changes in force"] == 1
+    verdict = play(tmp_path, names, 3, scenario)
+    assert verdict.violations == []
+    assert verdict.case_counts["changes in force"] == 1
 
 
 def test_flapping_links(tmp_path: Path) -> None:
-    """One link after another breaks or stalls, each until a client was served after that, while changes are made."""
+    """One random link after another loses its data, stalls or is cut, until some client is served after that, while
+    changes are made."""
     names = ["r0", "r1", "r2", "r3", "r4"]
     random = Random(7)
 
-    async def act(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         links = sorted(rig.relays)
 
         async def flap() -> None:
             for number in range(FLAPS):
                 relay = rig.relays[random.choice(links)]
-                rig.note("fault", what=f"flap {number}")
+                rig.record("fault", what=f"flap {number}")
                 relay.fault(random.choice(("there", "back")), random.choice(("stall", "drop", "cut")), 1.0)
-                await rig.serves(random.choice(names))
+                await rig.wait_until_serving(random.choice(names))
                 relay.heal()
 
-        parity = 0
+        variant = 0
         async with anyio.create_task_group() as both:
             both.start_soon(flap)
-            for _ in range(CHANGES):
-                parity = 1 - parity
+            for _ in range(CHANGES_WHILE_FLAPPING):
+                variant = 1 - variant
                 answer = {"result": NOT_MADE}
-                while (
-                    answer["result"] == NOT_MADE
-                ):  # the voter that was asked had not heard of the last change
-                    answer = await rig.set(parity, "--wait", "30", until_known=True)
+                # ask again while the voter that was asked has not learned of the last change yet
+                while answer["result"] == NOT_MADE:
+                    answer = await rig.set_policy(variant, "--wait", "30", retry_unknown=True)
                 assert answer["result"] == "in force", answer
         rig.heal()
-        await rig.serves(*names, parity=parity)
+        await rig.wait_until_serving(*names, variant=variant)
 
-    verdict = play(tmp_path, names, 3, act)
-    assert verdict.breaks == []
-    assert verdict.cases["changes in force"] == CHANGES
+    verdict = play(tmp_path, names, 3, scenario)
+    assert verdict.violations == []
+    assert verdict.case_counts["changes in force"] == CHANGES_WHILE_FLAPPING
 
 
 def test_forty_routers_and_a_slow_voter(tmp_path: Path) -> None:
-    names = ["r0", "r1", "r2", *(f"r{number}" for number in range(3, 3 + MANY))]
-
-    async def act(rig: Rig) -> None:
-        rig.cut_off("r1", fault="delay", value=0.3)
-        for parity in (1, 0):
-            assert (await rig.set(parity, "--wait", "60"))["result"] == "in force"
-            await rig.serves(*names, parity=parity)
+    """Changes come into force on a fleet of 43 routers while all links of one voter are delayed by 0.3 s."""
+    names = ["r0", "r1", "r2", *(f"r{number}" for number in range(3, 3 + ROUTERS_BESIDE_VOTERS))]
+
+    async def scenario(rig: Rig) -> None:
+        rig.inject_link_fault("r1", fault="delay", value=0.3)
+        for variant in (1, 0):
+            assert (await rig.set_policy(variant, "--wait", "60"))["result"] == "in force"
+            await rig.wait_until_serving(*names, variant=variant)
         rig.heal()
-        assert (await rig.set(1, "--wait", "60"))["result"] == "in force"
-        await rig.serves(*names, parity=1)
-
-    verdict = play(tmp_path, names, 3, act, lease=9.0)
-    assert verdict.breaks == []
-    assert verdict.cases["never mixed: sent once the first was served under the new policy"] > 3 * MANY
+        assert (await rig.set_policy(1, "--wait", "60"))["result"] == "in force"
+        await rig.wait_until_serving(*names, variant=1)
+
+    verdict = play(tmp_path, names, 3, scenario, lease=9.0)
+    assert verdict.violations == []
+    assert (
+        verdict.case_counts["never mixed: requests sent after the first was served under the new policy"]
+        > 3 * ROUTERS_BESIDE_VOTERS
+    )
