--- a/banklift/rig/node_env.py
+++ b/banklift/rig/node_env.py
@@ -30,9 +30,8 @@
         self.world, self.rate, self.offset, self.started_at = world, rate, offset, world.now()
         self.tap = tap
         self.paused = False
-        self.deferred: list[
-            tuple[bool, Callable[[], None]]
-        ] = []  # events that came while paused: whether it is a timer, and its callback
+        # events that came while the process was paused: whether the event is a timer, and its callback
+        self.deferred: list[tuple[bool, Callable[[], None]]] = []
 
     # ---- the clock
 
--- a/banklift/rig/relay.py
+++ b/banklift/rig/relay.py
@@ -23,9 +23,7 @@
 
 FAULTS = ("drop", "stall", "delay", "throttle", "flip", "cut")  # each is a field of `DirectionFaults`
 THERE, BACK = "there", "back"  # directions: from who made the connection to the target, and from the target
-TARGET_POLL_INTERVAL = (
-    0.001  # seconds between attempts to deliver while the connection to the target is opening
-)
+TARGET_POLL_INTERVAL = 0.001  # seconds between tries to deliver while the target's connection is opening
 
 
 @dataclass(slots=True)
--- a/tests/test_rig_faults.py
+++ b/tests/test_rig_faults.py
@@ -15,9 +15,8 @@
 VOTERS = ["r0", "r1", "r2"]
 ROUTERS = [*VOTERS, "r3"]
 CLOCK_JUMP = 15.0  # seconds: longer than any lease
-ATTEMPTS = (
-    6  # changes until a voter is killed; on a busy machine one write may hold two steps, and skip the point
-)
+# changes until a voter is killed at its point: on a busy machine one write may hold two steps, and skip the point
+ATTEMPTS = 6
 # events in a voter's log
 VOTES = "votes"
 DISK_FAILED = "disk in trouble"
