--- a/banklift/rig/exhaustive_history.py
+++ b/banklift/rig/exhaustive_history.py
@@ -1,11 +1,12 @@
-"""What has happened in one world of the exhaustive exploration, as far as invariants look at it; and the invariants.
+"""The history of one state of the exhaustive exploration, as far as invariants depend on it; and the invariants.
 
-A state counts as chosen once a majority of voters has accepted it under one ballot, of whom none knew a newer
-incarnation of another one when it accepted (a crash-consistent quorum: Michael et al., DISC 2017). That is reckoned
-here from the acceptances alone, whether anybody learns of it or not. What a proposer is told to be chosen counts, too.
+A state of the register counts as chosen once a majority of voters has accepted it under one ballot, and none of them
+knew, when it accepted, a newer incarnation of another one (a crash-consistent quorum: Michael et al., DISC 2017). This
+is computed here from the acceptances alone, whether any proposer learns of it or not. A state that a proposer has
+learned to be chosen counts as well.
 
-"Later" is by ballot, not by time: a state that was accepted by one voter, and seen there by the proposer of a higher
-ballot which built on it, may get its majority after that one has.
+"Later" means by ballot, not by time. A state may reach its majority after a state with a higher ballot has: the
+proposer of the higher ballot may have seen it at the one voter that had accepted it, and built on it.
 """
 
 from __future__ import annotations
@@ -25,24 +26,27 @@
     Acceptance,
     BrokenPromise,
     Event,
-    Told,
+    Learned,
 )
 
 MAJORITY = len(VOTERS) // 2 + 1
-Ordered = TypeVar("Ordered", "Acceptance", "Chosen", "Told")
+Ordered = TypeVar("Ordered", "Acceptance", "Chosen", "Learned")
 
 
 class Chosen(msgspec.Struct, frozen=True):
+    """A state of the register that is chosen, and the ballot under which it is."""
+
     ballot: Ballot
     state: State
 
 
 class History(msgspec.Struct, frozen=True):
-    """`acceptances`: of states not chosen yet, in a fixed order. `chosen`: in the order of ballots."""
+    """What has happened so far. Acceptances, chosen and learned states are kept in a fixed order, so histories that
+    differ only in the order of these are equal."""
 
-    acceptances: tuple[Acceptance, ...] = ()
-    chosen: tuple[Chosen, ...] = ()
-    told: tuple[Told, ...] = ()
+    acceptances: tuple[Acceptance, ...] = ()  # of states that are not chosen yet, in a fixed order
+    chosen: tuple[Chosen, ...] = ()  # in the order of their ballots
+    learned: tuple[Learned, ...] = ()  # in the order of their ballots
     broken_promises: tuple[BrokenPromise, ...] = ()
 
     def after(self, events: Iterable[Event]) -> History:
@@ -51,53 +55,57 @@
         for event in events:
             match event:
                 case Acceptance():
-                    history = history._accepted(event)
-                case Told():
-                    history = history._told(event)
+                    history = history._after_acceptance(event)
+                case Learned():
+                    history = history._after_learned(event)
                 case BrokenPromise():
                     broken = (*history.broken_promises, event)
                     history = msgspec.structs.replace(history, broken_promises=broken)
         return history
 
-    def _accepted(self, event: Acceptance) -> History:
+    def _after_acceptance(self, event: Acceptance) -> History:
         choice = Chosen(event.ballot, event.state)
         if choice in self.chosen or event in self.acceptances:
             return self
-        alike = [
-            *(one for one in self.acceptances if (one.ballot, one.state) == (event.ballot, event.state)),
+        same_choice = [
+            *(
+                other
+                for other in self.acceptances
+                if (other.ballot, other.state) == (event.ballot, event.state)
+            ),
             event,
         ]
-        if not is_chosen(alike):
+        if not is_chosen(same_choice):
             return msgspec.structs.replace(self, acceptances=_ordered([*self.acceptances, event]))
-        others = [one for one in self.acceptances if one not in alike]
+        remaining = [other for other in self.acceptances if other not in same_choice]
         return msgspec.structs.replace(
-            self, acceptances=_ordered(others), chosen=_ordered([*self.chosen, choice])
+            self, acceptances=_ordered(remaining), chosen=_ordered([*self.chosen, choice])
         )
 
-    def _told(self, event: Told) -> History:
+    def _after_learned(self, event: Learned) -> History:
         choice = Chosen(event.ballot, event.state)
         chosen = _ordered([*self.chosen, choice])
-        told = _ordered([*self.told, event])
-        return msgspec.structs.replace(self, chosen=chosen, told=told)
+        learned = _ordered([*self.learned, event])
+        return msgspec.structs.replace(self, chosen=chosen, learned=learned)
 
 
 def _ordered(events: Collection[Ordered]) -> tuple[Ordered, ...]:
-    """By ballot; those of one ballot in any order that is always the same. Equal ones stay once."""
+    """The events without duplicates, by ballot; those of one ballot in an arbitrary but fixed order."""
     by_key = {(event.ballot, msgspec.msgpack.encode(event)): event for event in events}
     return tuple(by_key[key] for key in sorted(by_key))
 
 
 def is_chosen(acceptances: list[Acceptance]) -> bool:
-    """Whether acceptances of one state under one ballot hold a crash-consistent majority."""
-    return any(_consistent(quorum) for quorum in combinations(acceptances, MAJORITY))
+    """Whether acceptances of one state under one ballot contain a crash-consistent majority."""
+    return any(_is_crash_consistent(quorum) for quorum in combinations(acceptances, MAJORITY))
 
 
-def _consistent(quorum: tuple[Acceptance, ...]) -> bool:
-    if len({one.voter for one in quorum}) < len(quorum):
+def _is_crash_consistent(quorum: tuple[Acceptance, ...]) -> bool:
+    if len({acceptance.voter for acceptance in quorum}) < len(quorum):
         return False
     return all(
-        other.incarnations.get(one.voter, 0) <= one.incarnations.get(one.voter, 0)
-        for one in quorum
+        other.incarnations.get(acceptance.voter, 0) <= acceptance.incarnations.get(acceptance.voter, 0)
+        for acceptance in quorum
         for other in quorum
     )
 
@@ -107,88 +115,96 @@
 
 @dataclass(frozen=True, slots=True)
 class Invariant:
-    """`broken`: what is wrong in a history, empty if it holds. `exposed`: whether it could have failed in it."""
+    """`violation`: describes what is wrong in a history; empty if the invariant holds. `is_exercised`: whether the
+    invariant could have been violated in a history, so that it does not hold vacuously."""
 
     name: str
-    broken: Callable[[History], str]
-    exposed: Callable[[History], bool]
+    violation: Callable[[History], str]
+    is_exercised: Callable[[History], bool]
 
 
 def derives(later: State, earlier: State) -> bool:
-    """Whether a state was made from another one, or is that one: changes only append to the policy."""
+    """Whether a state was made from an earlier one by any number of changes, each of which appends to the policy."""
     grown = len(later.policy) - len(earlier.policy)
     return later.policy.startswith(earlier.policy) and later.version - earlier.version == grown
 
 
-def broken_chain(history: History) -> str:
+def chain_violation(history: History) -> str:
+    """Each chosen state is made from the one chosen before it."""
     for earlier, later in pairwise(history.chosen):
         if earlier.ballot == later.ballot:
-            return f"{_words(earlier)} and {_words(later)} are chosen under one ballot"
+            return f"{_describe(earlier)} and {_describe(later)} are chosen under one ballot"
         if not derives(later.state, earlier.state):
-            return f"{_words(later)} is chosen as well as {_words(earlier)} and was not made from it"
+            return f"{_describe(later)} is chosen as well as {_describe(earlier)} and was not made from it"
     return ""
 
 
-def two_of_one_version(history: History) -> str:
+def version_violation(history: History) -> str:
+    """No two different chosen states have one version."""
     for one, other in combinations(history.chosen, 2):
         if one.state.version == other.state.version and one.state != other.state:
-            return f"{_words(one)} and {_words(other)} are chosen at one version"
+            return f"{_describe(one)} and {_describe(other)} are chosen at one version"
     return ""
 
 
-def change_made_twice(history: History) -> str:
+def repeated_change_violation(history: History) -> str:
+    """No chosen state has a change twice."""
     for chosen in history.chosen:
-        for letter in CHANGES.values():
-            if chosen.state.policy.count(letter) > 1:
-                return f"{_words(chosen)} has one change twice"
+        for change in CHANGES.values():
+            if chosen.state.policy.count(change) > 1:
+                return f"{_describe(chosen)} has one change twice"
     return ""
 
 
-def told_and_lost(history: History) -> str:
-    for told in history.told:
-        if not told.read and CHANGES[told.proposer] not in told.state.policy:
-            return f"{told.proposer} was told that {told.state.policy!r} is chosen, without its change"
-        for other in history.chosen:
-            if other.ballot > told.ballot and not derives(other.state, told.state):
-                return (
-                    f"{_words(other)} lacks {told.state.policy!r}, which {told.proposer} was told is chosen"
-                )
+def durability_violation(history: History) -> str:
+    """What a proposer learned to be chosen has its change, and every later chosen state is made from it."""
+    for learned in history.learned:
+        if not learned.is_read and CHANGES[learned.proposer] not in learned.state.policy:
+            return (
+                f"{learned.proposer} learned that {learned.state.policy!r} is chosen, which lacks its change"
+            )
+        for chosen in history.chosen:
+            if chosen.ballot > learned.ballot and not derives(chosen.state, learned.state):
+                return f"{_describe(chosen)} lacks {learned.state.policy!r}, which {learned.proposer} learned is chosen"
     return ""
 
 
-def promise_not_kept(history: History) -> str:
-    for one in history.broken_promises:
-        return f"{one.voter} had promised {one.promised} and answered under {one.ballot}"
+def promise_violation(history: History) -> str:
+    """No voter answers under a lower ballot than it promised."""
+    for broken in history.broken_promises:
+        return f"{broken.voter} had promised {broken.promised} and answered under {broken.ballot}"
     return ""
 
 
-CHAIN = Invariant("chosen states form one chain", broken_chain, lambda history: len(history.chosen) > 1)
+CHAIN = Invariant("chosen states form one chain", chain_violation, lambda history: len(history.chosen) > 1)
 ONE_PER_VERSION = Invariant(
-    "one chosen state a version",
-    two_of_one_version,
+    "one chosen state per version",
+    version_violation,
     lambda history: any(a.state.version == b.state.version for a, b in combinations(history.chosen, 2)),
 )
-ONCE = Invariant(
+CHANGE_ONCE = Invariant(
     "a change is made at most once",
-    change_made_twice,
-    lambda history: any(_made_again(history, letter) for letter in CHANGES.values()),
+    repeated_change_violation,
+    lambda history: any(_is_chosen_repeatedly(history, change) for change in CHANGES.values()),
 )
-TOLD_LASTS = Invariant(
-    "what was told as chosen is in every later chosen state",
-    told_and_lost,
-    lambda history: any(one.ballot < history.chosen[-1].ballot for one in history.told),
+LEARNED_IS_DURABLE = Invariant(
+    "what a proposer learned to be chosen is part of every later chosen state",
+    durability_violation,
+    lambda history: any(learned.ballot < history.chosen[-1].ballot for learned in history.learned),
 )
 PROMISES_KEPT = Invariant(
-    "no answer under a lower ballot than promised", promise_not_kept, lambda history: False
+    "no answer under a lower ballot than promised",
+    promise_violation,
+    lambda history: False,  # `StateSpace.refusals` counts these cases
 )
-OF_CHOICE = (CHAIN, ONE_PER_VERSION, ONCE, TOLD_LASTS)
-INVARIANTS = (*OF_CHOICE, PROMISES_KEPT)
+INVARIANTS_OF_CHOICE = (CHAIN, ONE_PER_VERSION, CHANGE_ONCE, LEARNED_IS_DURABLE)
+INVARIANTS = (*INVARIANTS_OF_CHOICE, PROMISES_KEPT)
 
 
-def _made_again(history: History, letter: bytes) -> bool:
-    """Whether a change is in states that were chosen under two ballots."""
-    return sum(letter in chosen.state.policy for chosen in history.chosen) > 1
+def _is_chosen_repeatedly(history: History, change: bytes) -> bool:
+    """Whether a change is part of states that were chosen under two ballots or more."""
+    return sum(change in chosen.state.policy for chosen in history.chosen) > 1
 
 
-def _words(chosen: Chosen) -> str:
+def _describe(chosen: Chosen) -> str:
     return f"{chosen.state.policy!r} of version {chosen.state.version} under ballot {chosen.ballot}"
--- a/banklift/rig/exhaustive_search.py
+++ b/banklift/rig/exhaustive_search.py
@@ -1,4 +1,4 @@
-"""Search of all worlds of exhaustive_world.py, breadth first, and what it reports."""
+"""Breadth-first search of the state space of exhaustive_world.py for violations of invariants, and its report."""
 
 from __future__ import annotations
 
@@ -8,68 +8,75 @@
 from banklift.fleet.messages import Accept, Nack, Promise, Rejoin, Rejoined
 from banklift.rig.exhaustive_history import INVARIANTS, PROMISES_KEPT, Invariant
 from banklift.rig.exhaustive_voter import VOTERS, DiskFault, RegisterMessage
-from banklift.rig.exhaustive_world import Budget, Step, StepKind, World, Worlds
+from banklift.rig.exhaustive_world import Budget, GlobalState, StateSpace, Step, StepKind
 
 
 @dataclass(frozen=True, slots=True)
 class Counterexample:
-    """`path`: the steps from the first world, as few as can be."""
+    """A violation of an invariant, and a shortest path that leads to it."""
 
     invariant: str
-    what: str
-    path: list[str]
+    violation: str
+    path: list[str]  # the steps from the initial state, in words
 
 
 @dataclass(slots=True)
 class Report:
-    """`deepest`: steps to the worlds that are furthest away. `exposed`: by invariant, how often it could have failed:
-    in how many states, or for promises how many different calls had to refuse a ballot lower than promised."""
+    """The result of a search."""
 
     budget: Budget
-    states: int = 0
-    steps: int = 0
-    deepest: int = 0
+    states: int = 0  # different states found
+    steps: int = 0  # steps taken, also those to states that were known
+    depth: int = 0  # steps from the initial state to the states that are furthest away
     seconds: float = 0.0
-    complete: bool = False
-    exposed: dict[str, int] = field(default_factory=dict)
+    complete: bool = False  # the whole state space was explored, and no invariant violated
+    # by invariant, how often it could have been violated: the number of states; for promises, the number of different
+    # transitions that had to refuse a ballot lower than promised
+    exercised: dict[str, int] = field(default_factory=dict)
     counterexample: Counterexample | None = None
 
 
 class Search:
-    """One exploration, breadth first, so that the path to a broken invariant has as few steps as can be."""
+    """One exploration, breadth first, so that the path to a violation has as few steps as possible.
+
+    `reduced`: leave out steps that lead to nothing new (exhaustive_world.py).
+    """
 
     def __init__(
         self, budget: Budget, invariants: tuple[Invariant, ...] = INVARIANTS, reduced: bool = True
     ) -> None:
         self.budget, self.invariants = budget, invariants
-        self.worlds = Worlds(budget, reduced)
-        self.parents: dict[bytes, bytes | None] = {}  # of each world seen, by keys
-        self.with_history: dict[int, int] = {}  # how many worlds have this history
+        self.space = StateSpace(budget, reduced)
+        self.parents: dict[
+            bytes, bytes | None
+        ] = {}  # of each state seen: its key, and the key of its predecessor
+        self.states_by_history: dict[int, int] = {}  # number of states that have a history
         self.steps = 0
 
     def run(self, limit: int) -> Report:
-        """Explore until all is covered, an invariant is broken or `limit` states are seen."""
-        began = time.monotonic()
+        """Explore until the state space is covered, an invariant is violated or `limit` states are seen."""
+        started_at = time.monotonic()
         report = Report(self.budget)
-        first = self.worlds.first()
+        first = self.space.first()
         self.parents[first.key()] = None
-        self.with_history[first.history] = 1
+        self.states_by_history[first.history] = 1
         frontier = [first]
         while frontier and len(self.parents) < limit and report.counterexample is None:
-            frontier = self._layer(frontier, limit, report)
-            report.deepest += bool(frontier)
+            frontier = self._next_frontier(frontier, limit, report)
+            report.depth += bool(frontier)
         report.complete = not frontier and report.counterexample is None
         report.states, report.steps = len(self.parents), self.steps
-        report.seconds = time.monotonic() - began
-        report.exposed = self._exposed()
+        report.seconds = time.monotonic() - started_at
+        report.exercised = self._count_exercised()
         return report
 
-    def _layer(self, frontier: list[World], limit: int, report: Report) -> list[World]:
-        """The worlds that are one step further than these and were not seen yet."""
-        parents, with_history, found = self.parents, self.with_history, []
-        for world in frontier:
-            origin = world.key()
-            for step in self.worlds.steps(world):
+    def _next_frontier(self, frontier: list[GlobalState], limit: int, report: Report) -> list[GlobalState]:
+        """The states that are one step further than these and were not seen yet. Ends early at the limit or a
+        violation, which is put into the report."""
+        parents, states_by_history, found = self.parents, self.states_by_history, []
+        for state in frontier:
+            origin = state.key()
+            for step in self.space.steps(state):
                 self.steps += 1
                 after = step.after
                 key = after.key()
@@ -77,71 +84,73 @@
                     continue
                 parents[key] = origin
                 found.append(after)
-                if after.history in with_history:
-                    with_history[after.history] += 1
+                if after.history in states_by_history:
+                    states_by_history[after.history] += 1
                     continue
-                with_history[after.history] = 1
-                report.counterexample = self._judge(after)
+                states_by_history[after.history] = 1
+                report.counterexample = self._find_violation(after)
                 if report.counterexample is not None:
                     return found
             if len(parents) >= limit:
                 break
         return found
 
-    def _judge(self, world: World) -> Counterexample | None:
-        history = self.worlds.histories.values[world.history]
+    def _find_violation(self, state: GlobalState) -> Counterexample | None:
+        """Check all invariants on a state's history."""
+        history = self.space.histories.values[state.history]
         for invariant in self.invariants:
-            if what := invariant.broken(history):
-                return Counterexample(invariant.name, what, self._path(world))
+            if violation := invariant.violation(history):
+                return Counterexample(invariant.name, violation, self._path_to(state))
         return None
 
-    def _exposed(self) -> dict[str, int]:
-        counts = dict.fromkeys((one.name for one in self.invariants), 0)
-        for number, states in self.with_history.items():
-            history = self.worlds.histories.values[number]
+    def _count_exercised(self) -> dict[str, int]:
+        counts = dict.fromkeys((invariant.name for invariant in self.invariants), 0)
+        for number, states in self.states_by_history.items():
+            history = self.space.histories.values[number]
             for invariant in self.invariants:
-                counts[invariant.name] += states * invariant.exposed(history)
+                counts[invariant.name] += states * invariant.is_exercised(history)
         if PROMISES_KEPT in self.invariants:
-            counts[PROMISES_KEPT.name] = self.worlds.refusals
+            counts[PROMISES_KEPT.name] = self.space.refusals
         return counts
 
     # ---- paths
 
-    def _path(self, last: World) -> list[str]:
-        """The steps from the first world to this one, in words."""
+    def _path_to(self, last: GlobalState) -> list[str]:
+        """The steps from the initial state to this one, in words."""
         keys = [last.key()]
         while (parent := self.parents[keys[-1]]) is not None:
             keys.append(parent)
         keys.reverse()
-        world, path = self.worlds.first(), []
+        state, path = self.space.first(), []
         for key in keys[1:]:
-            step = next(step for step in self.worlds.steps(world) if step.after.key() == key)
-            path.append(self._words(world, step))
-            world = step.after
+            step = next(step for step in self.space.steps(state) if step.after.key() == key)
+            path.append(self._describe(state, step))
+            state = step.after
         return path
 
-    def _words(self, world: World, step: Step) -> str:
+    def _describe(self, state: GlobalState, step: Step) -> str:
+        """A step from a state, in words."""
         name = VOTERS[step.at]
         match step.kind:
             case StepKind.DELIVER | StepKind.LOSE:
-                envelope = self.worlds.envelopes.values[step.subject]
-                return f"{step.kind} {envelope.sender} to {envelope.receiver}: {_message(envelope.message)}"
-            case StepKind.ASK_AGAIN:
-                return f"{name} asks {VOTERS[step.subject]} again"
+                envelope = self.space.envelopes.values[step.subject]
+                return f"{step.kind} {envelope.sender} to {envelope.receiver}: {_describe_message(envelope.message)}"
+            case StepKind.SEND_REJOIN_AGAIN:
+                return f"{name} sends Rejoin to {VOTERS[step.subject]} again"
             case StepKind.CRASH:
-                disk = self.worlds.disk_after(world, step)
-                return f"{name} crashes and starts; its disk is {disk.fault}" + (
+                disk = self.space.disk_after_crash(state, step)
+                return f"{name} crashes and restarts; its disk is {disk.fault}" + (
                     f" to promised {disk.record.promised}, accepted {disk.record.accepted}"
                     if disk.fault is DiskFault.ROLLED_BACK and disk.record is not None
                     else ""
                 )
             case _:
-                highest = self.worlds.voters.values[world.voters[step.at]].highest
+                highest = self.space.voters.values[state.voters[step.at]].highest_ballot
                 return f"{name} proposes its change under {(highest[0] + 1, name)}"
 
 
-def _message(message: RegisterMessage) -> str:
-    """The parts of a message that tell steps apart."""
+def _describe_message(message: RegisterMessage) -> str:
+    """The fields of a message that tell steps apart."""
     name = type(message).__name__
     match message:
         case Promise():
--- a/banklift/rig/exhaustive_voter.py
+++ b/banklift/rig/exhaustive_voter.py
@@ -1,25 +1,27 @@
 """One voter of the exhaustive exploration: its state as a value, and each event as a function of that value.
 
-The steps are those of `fleet/voter.py` and `fleet/proposer.py` without leases, time and links, worked out by the
-functions of `fleet/register.py` as they are: `prepare`, `accept`, `rejoin`, `Proposal`, `Rejoining`.
+The transitions are those of `fleet/voter.py` and `fleet/proposer.py` without leases, time and links. They call the
+functions and classes of `fleet/register.py` as they are: `prepare`, `accept`, `rejoin`, `Proposal`, `Rejoining`.
 
-| standing | event | next | what is sent |
+| voter is | event | voter afterwards | messages sent |
 | --- | --- | --- | --- |
-| voting | `begin`, with a try left | voting, its proposal under a new ballot | `Prepare` to all |
+| voting | `begin`, with a try left | voting, with a proposal under a new ballot | `Prepare` to all |
 | voting | `Prepare`, `Accept`, `Rejoin` | voting, record written | the register's answer |
 | voting | `Promise`, `Accepted`, `Nack` | voting | `Accept` to all, once a majority has promised |
-| voting again, if it reads | - | voting, with a proposal that changes nothing | `Prepare` to all |
-| any | `crash` | rejoining, proposal forgotten, disk as drawn | `Rejoin` to the others |
+| any | `crash` | rejoining, without a proposal, with one possible content of its disk | `Rejoin` to the others |
 | rejoining | `Rejoin` | rejoining | the register's answer |
-| rejoining | `Rejoined` | voting, once enough is known | `Rejoin` to the others, if it was outlived |
-| rejoining | `ask_again` | rejoining | `Rejoin` to one that has not answered as voting |
+| rejoining | `Rejoined` | voting, once enough is known | `Rejoin` to the others, if they know a newer incarnation |
+| rejoining | `send_rejoin_again` | rejoining | `Rejoin` to a voter that has not answered as voting |
 | rejoining | anything else | rejoining | - |
 
-A record is written in the step that changes it, before the answer is in flight: a crash between both is a crash after
-the step with that answer never delivered. A message to itself is handled in place, as by `Voter._send`; its answer to
-itself, too, unless disks are slow: then that is in flight like others, and ends with a crash. A voter that is down is
-one that rejoins and to which nothing is delivered. A read is tried under one ballot, and `begin` may come before it
-is done, where `Proposer` would wait for it.
+With `reads_after_rejoin`, a voter that votes again also starts a proposal that changes nothing, and sends `Prepare` to
+all.
+
+A record is written in the transition that changes it, before the answer is in flight: a crash between the write and the
+answer is a crash after the transition, with the answer never delivered. A voter handles messages to itself in place, as
+`Voter._send` does, and so its answers to itself, unless disks are slow: then these answers are in flight like others,
+and are lost in a crash. A voter that is down is one that rejoins and to which nothing is delivered. A read is tried
+under one ballot. `begin` may come before the read is done, where `Proposer` would wait for it.
 """
 
 from __future__ import annotations
@@ -60,10 +62,10 @@
 
 
 class ProposalState(msgspec.Struct, frozen=True):
-    """A `Proposal` as a value. `read`: it changes nothing."""
+    """A `Proposal` as a value."""
 
     ballot: Ballot
-    read: bool
+    is_read: bool  # it changes nothing
     promises: dict[str, Promise]
     accepts: dict[str, Accepted]
     state: State | None
@@ -78,80 +80,77 @@
     answers: dict[str, Rejoined]
 
 
-class Habits(msgspec.Struct, frozen=True):
-    """What is the same for all voters of a world. `slow_disk`: a voter's answer to itself is in flight like others.
-    `reads`: a voter that votes again begins with a proposal that changes nothing, as `Voter` does."""
+class VoterOptions(msgspec.Struct, frozen=True):
+    """Variants of the model; the same for all voters of an exploration."""
 
-    slow_disk: bool = False
-    reads: bool = False
+    slow_disk: bool = False  # a voter's answers to itself are in flight like others
+    reads_after_rejoin: bool = False  # a voter that votes again first proposes no change, as `Voter` does
 
 
-PLAIN = Habits()
+DEFAULT_OPTIONS = VoterOptions()
 
 
 class VoterState(msgspec.Struct, frozen=True):
-    """`disk`: all records that it has held, the newest last; kept only while a crash may come (`keeps_disk`).
-    `tries`: ballots that its change may still be proposed under. `highest`: the highest ballot that its proposer
-    knows. `told`: its change is known to be chosen. `trusted`: its disk has neither been lost nor rolled back, or it
-    votes again since."""
+    """A voter and its proposer."""
 
     record: Record
-    disk: tuple[Record, ...]
-    keeps_disk: bool
-    tries: int
-    habits: Habits
-    highest: Ballot = NO_BALLOT
-    told: bool = False
-    trusted: bool = True
+    disk_history: tuple[Record, ...]  # all records that the disk has held, the newest last; empty if not kept
+    keeps_disk_history: bool  # only while a crash may still come
+    tries: int  # ballots under which its change may still be proposed
+    options: VoterOptions
+    highest_ballot: Ballot = NO_BALLOT  # that its proposer knows
+    change_chosen: bool = False  # its proposer has learned that its change is chosen
+    trusted: bool = True  # its disk was neither lost nor rolled back, or it votes again since
     proposal: ProposalState | None = None
     rejoining: RejoiningState | None = None
 
     @property
     def name(self) -> str:
+        """The voter's name."""
         return self.record.voter
 
     @property
     def may_propose(self) -> bool:
-        """Whether it may propose its change once more, unless it crashes."""
-        return self.tries > 0 and not self.told
+        """Whether it may propose its change once more, if it does not crash."""
+        return self.tries > 0 and not self.change_chosen
 
 
 class Acceptance(msgspec.Struct, frozen=True):
-    """Event: a voter has accepted a state, knowing these incarnations."""
+    """Event: a voter has accepted a state."""
 
     voter: str
     ballot: Ballot
     state: State
-    incarnations: dict[str, int]
+    incarnations: dict[str, int]  # of all voters, as the voter knew them then
 
 
-class Told(msgspec.Struct, frozen=True):
-    """Event: a proposer has been told that its state is chosen. `read`: of a proposal that changes nothing."""
+class Learned(msgspec.Struct, frozen=True):
+    """Event: a proposer has learned that the state it proposed is chosen."""
 
     proposer: str
-    read: bool
+    is_read: bool  # the proposal changed nothing
     ballot: Ballot
     state: State
 
 
 class BrokenPromise(msgspec.Struct, frozen=True):
-    """Event: a voter has answered under a ballot lower than it had promised, or has forgotten a promise."""
+    """Event: a voter has answered under a lower ballot than it had promised, or has forgotten a promise."""
 
     voter: str
     ballot: Ballot
     promised: Ballot
 
 
-Event = Acceptance | Told | BrokenPromise
+Event = Acceptance | Learned | BrokenPromise
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What one event led to. `lower_ballots`: messages of a lower ballot than promised that had to be refused."""
+    """The result of one transition."""
 
-    voter: VoterState
+    voter: VoterState  # afterwards
     sent: tuple[Envelope, ...]
     events: tuple[Event, ...]
-    lower_ballots: int
+    lower_ballots: int  # received messages that had to be refused, as a higher ballot was promised
 
 
 class DiskFault(StrEnum):
@@ -162,107 +161,119 @@
     ROLLED_BACK = "rolled back"
 
 
-class DiskAfter(msgspec.Struct, frozen=True):
-    """What the disk holds after a crash: no record if it was lost."""
+class DiskAfterCrash(msgspec.Struct, frozen=True):
+    """What the disk holds after a crash."""
 
     fault: DiskFault
-    record: Record | None
+    record: Record | None  # None if it was lost
 
 
-def first_state(name: str, tries: int, keeps_disk: bool, habits: Habits) -> VoterState:
-    """A voter of a fleet that has begun: all have accepted the first state and vote."""
+def first_state(name: str, tries: int, keeps_disk_history: bool, options: VoterOptions) -> VoterState:
+    """A voter of a fleet in which all voters have accepted the first state and vote."""
     incarnations = dict.fromkeys(VOTERS, 1)
     first = found(FLEET, b"")
     record = Record(FLEET, name, 1, FIRST_BALLOT, FIRST_BALLOT, first, incarnations, incarnations)
     tries = tries if name in CHANGES else 0
-    return VoterState(record, (record,) if keeps_disk else (), keeps_disk, tries, habits, FIRST_BALLOT)
+    return VoterState(
+        record,
+        (record,) if keeps_disk_history else (),
+        keeps_disk_history,
+        tries,
+        options,
+        FIRST_BALLOT,
+    )
 
 
 def append_change(name: str, state: State | None) -> State:
-    """The change of this proposer; made before, it leaves the state as it is, as `state.propose` does."""
+    """The state with this proposer's change. A state that has the change already stays as it is, as in
+    `state.propose`."""
     base = state or found(FLEET, b"")
     if CHANGES[name] in base.policy:
         return base
     return msgspec.structs.replace(base, version=base.version + 1, policy=base.policy + CHANGES[name])
 
 
-def disks_after(voter: VoterState) -> list[DiskAfter]:
-    """All that the disk may hold after a crash; nothing but a whole one first."""
-    drawn = [DiskAfter(DiskFault.WHOLE, voter.disk[-1])] if voter.disk else []
-    drawn.append(DiskAfter(DiskFault.LOST, None))
-    return drawn + [DiskAfter(DiskFault.ROLLED_BACK, record) for record in voter.disk[:-1]]
+def disks_after_crash(voter: VoterState) -> list[DiskAfterCrash]:
+    """All that the disk may hold after a crash: the newest record, nothing, or any earlier record."""
+    disks = [DiskAfterCrash(DiskFault.WHOLE, voter.disk_history[-1])] if voter.disk_history else []
+    disks.append(DiskAfterCrash(DiskFault.LOST, None))
+    return disks + [DiskAfterCrash(DiskFault.ROLLED_BACK, record) for record in voter.disk_history[:-1]]
 
 
-def without_disk(voter: VoterState) -> VoterState:
-    """The same voter when no crash can come any more: what its disk has held does not matter."""
-    return msgspec.structs.replace(voter, disk=(), keeps_disk=False)
+def without_disk_history(voter: VoterState) -> VoterState:
+    """The same voter once no crash can come any more: what its disk has held does not matter then."""
+    return msgspec.structs.replace(voter, disk_history=(), keeps_disk_history=False)
 
 
 def begin(voter: VoterState) -> Outcome:
-    """Its change is proposed under a new ballot: for the first time, or as the last try took too long."""
-    step = _Step(voter)
-    step.begin()
-    return step.outcome()
+    """The voter proposes its change under a new ballot: for the first time, or because the last try took too long."""
+    running = _RunningVoter(voter)
+    running.begin()
+    return running.outcome()
 
 
 def receive(voter: VoterState, sender: str, message: RegisterMessage) -> Outcome:
-    step = _Step(voter)
-    step.receive(sender, message)
-    return step.outcome()
+    """The voter receives a message."""
+    running = _RunningVoter(voter)
+    running.receive(sender, message)
+    return running.outcome()
 
 
-def crash(voter: VoterState, disk: DiskAfter) -> Outcome:
-    """It ends and starts again, with this on its disk."""
+def crash(voter: VoterState, disk: DiskAfterCrash) -> Outcome:
+    """The voter ends and starts again, with this content of its disk."""
     base = disk.record or Record(FLEET, voter.name, 0)
-    incarnation = voter.record.incarnation + 1  # taken from a clock, so newer also than what a lost disk held
+    incarnation = voter.record.incarnation + 1  # taken from a clock, so newer than any that a lost disk held
     known = register.merged(base.incarnations, {voter.name: incarnation})
     record = msgspec.structs.replace(base, incarnation=incarnation, incarnations=known)
     lost = disk.record is None
-    held = () if lost else (*(one for one in voter.disk if one != base), base)
+    disk_history = () if lost else (*(earlier for earlier in voter.disk_history if earlier != base), base)
     started = VoterState(
         record,
-        held,
-        voter.keeps_disk,
+        disk_history,
+        voter.keeps_disk_history,
         voter.tries,
-        voter.habits,
+        voter.options,
         trusted=disk.fault is DiskFault.WHOLE and voter.trusted,
         rejoining=RejoiningState(record, not lost, lost, {}),
     )
-    step = _Step(started)
-    step.start()
-    return step.outcome()
+    running = _RunningVoter(started)
+    running.start()
+    return running.outcome()
 
 
-def ask_again(voter: VoterState, other: str) -> Outcome:
-    step = _Step(voter)
-    step.send(other, Rejoin(voter.record.incarnation))
-    return step.outcome()
+def send_rejoin_again(voter: VoterState, other: str) -> Outcome:
+    """A voter that rejoins asks another one again."""
+    running = _RunningVoter(voter)
+    running.send(other, Rejoin(voter.record.incarnation))
+    return running.outcome()
 
 
-class _Step:
-    """One event at one voter, with the register's own objects."""
+class _RunningVoter:
+    """A voter during one event, with the mutable objects of the register."""
 
     def __init__(self, voter: VoterState) -> None:
-        self.name, self.tries, self.highest = voter.name, voter.tries, voter.highest
-        self.record, self.disk, self.keeps_disk = voter.record, voter.disk, voter.keeps_disk
-        self.told, self.trusted, self.habits = voter.told, voter.trusted, voter.habits
-        self.read = voter.proposal is not None and voter.proposal.read
-        self.proposal = self._proposal_of(voter)
-        self.rejoining = self._rejoining_of(voter)
+        self.name, self.tries, self.highest_ballot = voter.name, voter.tries, voter.highest_ballot
+        self.record = voter.record
+        self.disk_history, self.keeps_disk_history = voter.disk_history, voter.keeps_disk_history
+        self.change_chosen, self.trusted, self.options = voter.change_chosen, voter.trusted, voter.options
+        self.is_read = voter.proposal is not None and voter.proposal.is_read
+        self.proposal = self._restored_proposal(voter)
+        self.rejoining = self._restored_rejoining(voter)
         self.sent: list[Envelope] = []
         self.events: list[Event] = []
         self.lower_ballots = 0
 
     def outcome(self) -> Outcome:
-        may_propose = self.tries > 0 and not self.told
+        """The voter as a value again, and what the event has led to."""
+        may_propose = self.tries > 0 and not self.change_chosen
         after = VoterState(
             self.record if self.rejoining is None else self.rejoining.record,
-            self.disk,
-            self.keeps_disk,
+            self.disk_history,
+            self.keeps_disk_history,
             self.tries,
-            self.habits,
-            self.highest if may_propose else NO_BALLOT,  # read by `begin` alone
-            self.told,
+            self.options,
+            self.highest_ballot if may_propose else NO_BALLOT,  # read by `begin` alone
+            self.change_chosen,
             self.trusted,
             self._proposal_state(),
             self._rejoining_state(),
@@ -273,54 +284,54 @@
 
     def begin(self) -> None:
         self.tries -= 1
-        self._propose(read=False)
+        self._propose(is_read=False)
 
     def start(self) -> None:
         assert self.rejoining is not None
         if (done := self.rejoining.done()) is not None:
-            self._vote(done)
+            self._start_voting(done)
             return
-        self._ask_all(self.rejoining)
+        self._send_rejoin_to_others(self.rejoining)
 
     def receive(self, sender: str, message: RegisterMessage) -> None:
         match message:
             case Rejoin():
-                self._rejoin(sender, message)
+                self._receive_rejoin(sender, message)
             case Rejoined():
-                self._rejoined(sender, message)
+                self._receive_rejoined(sender, message)
             case _ if self.rejoining is not None:
                 return  # it does not vote
             case Prepare() | Accept():
                 self._vote_on(sender, message)
             case Promise() | Accepted() | Nack():
-                self._answered(sender, message)
+                self._receive_vote(sender, message)
 
     def send(self, receiver: str, message: RegisterMessage) -> None:
-        waits = self.habits.slow_disk and isinstance(message, Promise | Accepted | Nack)
-        if receiver == self.name and not waits:
+        waits_for_disk = self.options.slow_disk and isinstance(message, Promise | Accepted | Nack)
+        if receiver == self.name and not waits_for_disk:
             self.receive(self.name, message)
         else:
             self.sent.append(Envelope(self.name, receiver, message))
 
-    # ---- parts
+    # ---- parts of events
 
-    def _propose(self, read: bool) -> None:
-        self.highest = (self.highest[0] + 1, self.name)
-        self.read = read
-        self.proposal = Proposal(self.highest, VOTERS, self._change)
-        self._all(Prepare(self.highest))
+    def _propose(self, is_read: bool) -> None:
+        self.highest_ballot = (self.highest_ballot[0] + 1, self.name)
+        self.is_read = is_read
+        self.proposal = Proposal(self.highest_ballot, VOTERS, self._change)
+        self._send_to_all(Prepare(self.highest_ballot))
 
-    def _all(self, message: Prepare | Accept) -> None:
+    def _send_to_all(self, message: Prepare | Accept) -> None:
         for voter in VOTERS:
             self.send(voter, message)
 
     def _write(self, record: Record) -> None:
-        """It is on disk from here on."""
-        if self.keeps_disk and (not self.disk or self.disk[-1] != record):
-            self.disk = (*self.disk, record)
+        """The record is on disk from here on."""
+        if self.keeps_disk_history and (not self.disk_history or self.disk_history[-1] != record):
+            self.disk_history = (*self.disk_history, record)
 
     def _change(self, state: State | None) -> State:
-        if self.read:
+        if self.is_read:
             return state or found(FLEET, b"")
         return append_change(self.name, state)
 
@@ -342,9 +353,9 @@
             )
         self.send(sender, answer)
 
-    def _answered(self, sender: str, message: Promise | Accepted | Nack) -> None:
+    def _receive_vote(self, sender: str, message: Promise | Accepted | Nack) -> None:
         if isinstance(message, Nack):
-            self.highest = max(self.highest, message.promised)
+            self.highest_ballot = max(self.highest_ballot, message.promised)
         proposal = self.proposal
         if proposal is None:
             return
@@ -352,17 +363,17 @@
             case Promise():
                 accept = proposal.promised(sender, message)
                 if accept is not None:
-                    self._all(accept)
+                    self._send_to_all(accept)
             case Accepted():
                 state = proposal.accepted(sender, message)
                 if state is not None:
-                    self.proposal, self.told = None, self.told or not self.read
-                    self.events.append(Told(self.name, self.read, proposal.ballot, state))
+                    self.proposal, self.change_chosen = None, self.change_chosen or not self.is_read
+                    self.events.append(Learned(self.name, self.is_read, proposal.ballot, state))
             case Nack():
                 if proposal.nack(message):
                     self.proposal = None
 
-    def _rejoin(self, sender: str, message: Rejoin) -> None:
+    def _receive_rejoin(self, sender: str, message: Rejoin) -> None:
         own = self.rejoining
         if own is None:
             self.record, answer = register.rejoin(self.record, sender, message, VOTING, False)
@@ -373,47 +384,48 @@
                 self._write(own.record)
         self.send(sender, answer)
 
-    def _rejoined(self, sender: str, message: Rejoined) -> None:
+    def _receive_rejoined(self, sender: str, message: Rejoined) -> None:
         own = self.rejoining
         if own is None:
             return
         done = own.answered(sender, message)
         if own.outlived:
             own.again(own.outlived + 1)
-            self._ask_all(own)
+            self._send_rejoin_to_others(own)
         elif done is not None:
-            self._vote(done)
+            self._start_voting(done)
 
-    def _ask_all(self, own: Rejoining) -> None:
+    def _send_rejoin_to_others(self, own: Rejoining) -> None:
         for voter in VOTERS:
             if voter != self.name:
                 self.send(voter, Rejoin(own.record.incarnation))
 
-    def _vote(self, record: Record) -> None:
+    def _start_voting(self, record: Record) -> None:
         self.record, self.rejoining, self.trusted = record, None, True
         self._write(record)
-        self.highest = max(self.highest, record.promised)
-        if self.habits.reads:
-            self._propose(read=True)
+        self.highest_ballot = max(self.highest_ballot, record.promised)
+        if self.options.reads_after_rejoin:
+            self._propose(is_read=True)
 
-    # ---- values and objects
+    # ---- conversions between values and the register's objects
 
-    def _proposal_of(self, voter: VoterState) -> Proposal | None:
-        kept = voter.proposal
-        if kept is None:
+    def _restored_proposal(self, voter: VoterState) -> Proposal | None:
+        value = voter.proposal
+        if value is None:
             return None
         return Proposal(
-            kept.ballot, VOTERS, self._change, dict(kept.promises), dict(kept.accepts), kept.state
+            value.ballot, VOTERS, self._change, dict(value.promises), dict(value.accepts), value.state
         )
 
-    def _rejoining_of(self, voter: VoterState) -> Rejoining | None:
-        kept = voter.rejoining
-        if kept is None:
+    def _restored_rejoining(self, voter: VoterState) -> Rejoining | None:
+        value = voter.rejoining
+        if value is None:
             return None
-        return Rejoining(kept.record, VOTERS, kept.whole, kept.absent, dict(kept.answers))
+        return Rejoining(value.record, VOTERS, value.whole, value.absent, dict(value.answers))
 
     def _proposal_state(self) -> ProposalState | None:
-        """Once it asks to accept a state, a `Proposal` reads of its promises nothing but the newest incarnations."""
+        """The proposal as a value. Once a `Proposal` has asked to accept a state, it reads nothing of its promises but
+        the newest incarnations; so these stand in one promise, and fewer values differ."""
         own = self.proposal
         if own is None:
             return None
@@ -424,7 +436,7 @@
                 known = register.merged(known, promise.incarnations)
             promises = {self.name: Promise(own.ballot, NO_BALLOT, None, known)}
         accepts = {name: own.accepts[name] for name in sorted(own.accepts)}
-        return ProposalState(own.ballot, self.read, promises, accepts, own.state)
+        return ProposalState(own.ballot, self.is_read, promises, accepts, own.state)
 
     def _rejoining_state(self) -> RejoiningState | None:
         own = self.rejoining
