--- a/banklift/rig/schedule.py
+++ b/banklift/rig/schedule.py
@@ -1,7 +1,7 @@
-"""Random schedules of faults for a fleet in virtual time: one seed, one schedule, played to its end and judged.
+"""Random schedules of faults for a fleet in virtual time. A seed determines a schedule.
 
-Meanwhile operators ask for changes, some of them dry, some that a router refuses, some asked for twice. At the end all
-faults are taken back, and everything has to serve and change again.
+While faults are injected, operators request changes of policy: some as dry runs, some that a router refuses, some
+twice. At the end all faults are taken back; then all routers have to serve, and another change has to come into force.
 """
 
 from __future__ import annotations
@@ -17,56 +17,63 @@
 from banklift.rig.world_judge import REFUSED
 
 LEASE = 4.0  # seconds that voters grant
-SECONDS = 40.0  # of faults
-STARTING = 4.0  # seconds in which all come up
-RECOVERY = 30.0  # seconds after the last fault in which all is to be well again
-PAUSE_BETWEEN = 1.0  # seconds between two events, at the most
+FAULT_PERIOD = 40.0  # seconds in which faults are injected
+START_PERIOD = 4.0  # seconds in which all members start
+RECOVERY_PERIOD = 30.0  # seconds after the last fault in which all routers have to serve again
+MAX_EVENT_INTERVAL = 1.0  # seconds between two events, at the most
+MAX_RESTART_DELAY = 6.0  # seconds until a member that ended is started again, at the most
+MAX_PAUSE = 6.0  # seconds that a process is paused, at the most
+MAX_LINK_FAULT_DURATION = 8.0  # seconds
 THROTTLE = 2000.0  # bytes a second
-LONGEST_DELAY = 0.8  # seconds of one way: twice the leases that are granted while a change takes hold
-SUB_LEASE_PARTS = (1 / 4, 2 / 3, 1.0)  # of a lease: what aggregators grant
-REASON = "not in this build"  # of a router that refuses
+MAX_DELAY = 0.8  # seconds in one direction: twice the leases that are granted while a change comes into force
+SUB_LEASE_FRACTIONS = (1 / 4, 2 / 3, 1.0)  # of a lease: what aggregators grant
+REFUSAL_REASON = "not in this build"  # of routers that refuse a policy
 
 
 @dataclass(slots=True)
 class Report:
-    """What became of one seed."""
+    """The result of the schedule of one seed."""
 
     seed: int
-    faults: list[str] = field(default_factory=list)  # breaches of invariants, and what did not recover
-    cases: dict[str, int] = field(default_factory=dict)
+    faults: list[str] = field(default_factory=list)  # violations of invariants, and what did not recover
+    cases: dict[str, int] = field(default_factory=dict)  # how often each case came up
 
 
 class Schedule:
-    """`aggregated`: with two to four aggregators; else all routers lease from the voters."""
+    """The schedule of one seed, and the fleet that it is played on.
 
-    def __init__(self, seed: int, aggregated: bool, seconds: float = SECONDS) -> None:
+    `aggregated`: the fleet has two to four aggregators; otherwise all routers lease from the voters. `seconds`: in
+    which faults are injected.
+    """
+
+    def __init__(self, seed: int, aggregated: bool, seconds: float = FAULT_PERIOD) -> None:
         self.seed, self.seconds, self.random = seed, seconds, Random(seed)
-        self.fleet = self._aggregated() if aggregated else self._direct()
-        self.numbers = 0  # of changes
-        self.suspects: set[str] = set()  # voters whose disk was touched and that have not voted since
-        self.events: tuple[tuple[float, Callable[[], None]], ...] = (
-            (0.22, self._change),
+        self.fleet = self._aggregated_fleet() if aggregated else self._direct_fleet()
+        self.change_count = 0
+        self.damaged: set[str] = set()  # voters whose disk was damaged and that have not voted since
+        self.events: tuple[tuple[float, Callable[[], None]], ...] = (  # with their probabilities
+            (0.22, self._request_change),
             (0.18, self._kill),
             (0.06, self._leave),
             (0.10, self._pause),
-            (0.06, self._disk),
-            (0.24, self._link),
+            (0.06, self._set_disk_fault),
+            (0.24, self._fault_link),
             (0.07, self._cut_off),
-            (0.07, self._slow),
+            (0.07, self._delay_member),
         )
 
-    def _direct(self) -> FleetWorld:
+    def _direct_fleet(self) -> FleetWorld:
         voters = self.random.choice((3, 3, 5))
         return FleetWorld(self.seed, self.random.randrange(voters + 1, 9), voters)
 
-    def _aggregated(self) -> FleetWorld:
+    def _aggregated_fleet(self) -> FleetWorld:
         aggregators = self.random.randrange(2, 5)
         return FleetWorld(
             self.seed,
             self.random.randrange(5, 10),
             voters=3,
             lease=LEASE,
-            sub_lease=LEASE * self.random.choice(SUB_LEASE_PARTS),
+            sub_lease=LEASE * self.random.choice(SUB_LEASE_FRACTIONS),
             aggregators=aggregators,
             direct=self.random.choice((0, 0, 1)),
             zones=2 if aggregators == 4 else 1,
@@ -74,145 +81,156 @@
 
     # ---- events
 
-    def _change(self) -> None:
-        """An operator looks at the state and asks for another policy; perhaps once more, or by another voter."""
-        self.numbers += 1
-        number = self.numbers
+    def _request_change(self) -> None:
+        """An operator asks a voter for the version of the state, and then requests a change to another policy."""
+        self.change_count += 1
+        number = self.change_count
 
-        def shown(answer: Message | None) -> None:
+        def request(answer: Message | None) -> None:
             if isinstance(answer, Shown) and answer.state is not None:
-                self._set(number, answer.state.version)
+                self._send_change(number, answer.state.version)
 
-        self.fleet.ask(self.random.choice(self.fleet.voters), Show(), shown)
+        self.fleet.ask(self.random.choice(self.fleet.voters), Show(), request)
 
-    def _set(self, number: int, version: int) -> None:
+    def _send_change(self, number: int, version: int) -> None:
+        """Request a change from a random voter; sometimes twice, which may be from two voters."""
         random, fleet = self.random, self.fleet
         text = b"policy %d" % number + (b" " + REFUSED if random.random() < 0.15 else b"")
-        wanted = Set(f"{version}-n{number}", text, random.uniform(2.0, 12.0), random.random() < 0.1)
+        message = Set(f"{version}-n{number}", text, random.uniform(2.0, 12.0), random.random() < 0.1)
         for _ in range(random.choice((1, 1, 2))):
-            fleet.ask(random.choice(fleet.voters), wanted, fleet.told)
+            fleet.ask(random.choice(fleet.voters), message, fleet.told)
 
     def _kill(self) -> None:
-        key = self._running()
+        """Kill a member, perhaps with damage to its disk, and start it again later."""
+        key = self._random_running()
         if key is None:
             return
         self.fleet.kill(key)
-        self.fleet.case("events: kill")
+        self.fleet.count_case("events: kill")
         if key in self.fleet.voters:
-            self._damage(key)
-        self._restart(key)
+            self._damage_disk(key)
+        self._restart_later(key)
 
     def _leave(self) -> None:
-        key = self._running()
+        """Let a router leave, and start it again later."""
+        key = self._random_running()
         if key is None or key not in self.fleet.routers or self.fleet.routers[key].paused:
             return
         self.fleet.leave(key)
-        self.fleet.case("events: leave")
-        self._restart(key)
+        self.fleet.count_case("events: leave")
+        self._restart_later(key)
+
+    def _restart_later(self, key: str) -> None:
+        """Start a member at once or later, if it is still down then. Some routers refuse policies from then on."""
 
-    def _restart(self, key: str) -> None:
         def start() -> None:
             member = self.fleet.members[key]
             if member.host is not None:
                 return
             if isinstance(member, Router):
-                member.reasons = (REASON,) if self.random.random() < 0.15 else ()
+                member.reasons = (REFUSAL_REASON,) if self.random.random() < 0.15 else ()
             self.fleet.start(key)
 
-        self._later(self.random.choice((0.0, 6.0)), start)
+        self._later(self.random.choice((0.0, MAX_RESTART_DELAY)), start)
 
-    def _damage(self, key: str) -> None:
-        """What a killed voter's disk holds; as many of them as a fleet has to bear."""
+    def _damage_disk(self, key: str) -> None:
+        """Damage a killed voter's disk, sometimes, if no more voters have a damaged disk than a fleet tolerates."""
         fleet, random = self.fleet, self.random
-        bearable = (len(fleet.voters) - 1) // 2
-        self.suspects = {one for one in self.suspects if not fleet.votes(one)}
-        if len(self.suspects - {key}) >= bearable or random.random() < 0.5:
+        tolerated = (len(fleet.voters) - 1) // 2
+        self.damaged = {voter for voter in self.damaged if not fleet.votes(voter)}
+        if len(self.damaged - {key}) >= tolerated or random.random() < 0.5:
             return
-        self.suspects.add(key)
+        self.damaged.add(key)
         disk = fleet.routers[key].disk
-        kind = random.choice(("wiped", "torn", "rolled back"))
-        match kind:
+        damage = random.choice(("wiped", "torn", "rolled back"))
+        match damage:
             case "wiped":
                 disk.content = None
             case "torn":
                 disk.content = b"torn"
             case _:
                 disk.content = random.choice([*disk.older, disk.content])
-        fleet.case(f"events: disk {kind}")
+        fleet.count_case(f"events: disk {damage}")
 
     def _pause(self) -> None:
-        key = self._running()
+        """Pause a member's process for a while."""
+        key = self._random_running()
         if key is None or self.fleet.members[key].paused:
             return
         self.fleet.pause(key)
-        self.fleet.case("events: pause")
+        self.fleet.count_case("events: pause")
         timers_first = self.random.random() < 0.5
-        self._later(6.0, lambda: self.fleet.resume(key, timers_first))
+        self._later(MAX_PAUSE, lambda: self.fleet.resume(key, timers_first))
 
-    def _disk(self) -> None:
+    def _set_disk_fault(self) -> None:
+        """Let a voter's writes fail from now on, or succeed again."""
         voter = self.random.choice(self.fleet.voters)
         self.fleet.routers[voter].disk.fault = self.random.choice(["", "", "EIO", "full"])
 
-    def _link(self) -> None:
+    def _fault_link(self) -> None:
+        """Inject a fault into one direction of one link for a while."""
         relay = self.random.choice(list(self.fleet.relays.values()))
         fault, way = self.random.choice(FAULTS), self.random.choice((THERE, BACK))
-        values = {"delay": self.random.uniform(0.0, LONGEST_DELAY), "throttle": THROTTLE}
+        values = {"delay": self.random.uniform(0.0, MAX_DELAY), "throttle": THROTTLE}
         relay.fault(way, fault, values.get(fault, 1.0))
-        self.fleet.case(f"events: {fault}")
-        self._later(8.0, lambda: relay.fault(way, fault, 0))
+        self.fleet.count_case(f"events: {fault}")
+        self._later(MAX_LINK_FAULT_DURATION, lambda: relay.fault(way, fault, 0))
 
     def _cut_off(self) -> None:
-        """All links of one member, or those with voters or with aggregators, one way or both."""
+        """Stall all links of one member, or those with voters or with aggregators, in one direction or both."""
         fleet, random = self.fleet, self.random
         key = random.choice(list(fleet.members))
         others = random.choice(((), fleet.voters, tuple(fleet.aggregators)))
         way = random.choice((None, THERE, BACK))
         fleet.cut_off(key, others, way)
-        fleet.case("events: cut off")
-        self._later(8.0, lambda: fleet.heal(key))
+        fleet.count_case("events: cut off")
+        self._later(MAX_LINK_FAULT_DURATION, lambda: fleet.heal(key))
 
-    def _slow(self) -> None:
-        """All links of one member take long, one way."""
+    def _delay_member(self) -> None:
+        """Delay all links of one member in one direction."""
         key, way = self.random.choice(list(self.fleet.members)), self.random.choice((THERE, BACK))
-        seconds = self.random.uniform(0.0, LONGEST_DELAY)
+        seconds = self.random.uniform(0.0, MAX_DELAY)
         for relay in self.fleet.links(key):
             relay.fault(way, "delay", seconds)
-        self.fleet.case("events: slow")
-        self._later(8.0, lambda: self.fleet.heal(key))
+        self.fleet.count_case("events: slow")
+        self._later(MAX_LINK_FAULT_DURATION, lambda: self.fleet.heal(key))
 
-    def _running(self) -> str | None:
-        """A member that is drawn, if it runs."""
+    def _random_running(self) -> str | None:
+        """Draw a member; None if it does not run."""
         key = self.random.choice(list(self.fleet.members))
         return key if self.fleet.members[key].host is not None else None
 
-    def _later(self, most: float, call: Callable[[], None]) -> None:
-        self.fleet.world.at(self.fleet.world.now() + self.random.uniform(0.0, most), call)
+    def _later(self, max_delay: float, action: Callable[[], None]) -> None:
+        """Call the action after a random time of at most `max_delay` seconds."""
+        self.fleet.world.at(self.fleet.world.now() + self.random.uniform(0.0, max_delay), action)
 
-    # ---- the whole
+    # ---- the whole schedule
 
     def play(self) -> Report:
+        """Start the fleet, inject faults, take them back, and check that the fleet recovers."""
         fleet = self.fleet
         for key in fleet.members:
             fleet.world.at(fleet.world.now() + self.random.uniform(0.0, 1.0), self._starter(key))
-        fleet.run(STARTING)
+        fleet.run(START_PERIOD)
         end = fleet.world.now() + self.seconds
         while fleet.world.now() < end:
-            self._event()()
-            fleet.run(self.random.uniform(0.0, PAUSE_BETWEEN))
-        self._recover()
-        fleet.run(RECOVERY)
+            self._random_event()()
+            fleet.run(self.random.uniform(0.0, MAX_EVENT_INTERVAL))
+        self._take_faults_back()
+        fleet.run(RECOVERY_PERIOD)
         not_recovered = self._not_recovered()
         return Report(self.seed, fleet.breaks + not_recovered, dict(fleet.cases))
 
     def _starter(self, key: str) -> Callable[[], None]:
         return lambda: self.fleet.start(key)
 
-    def _event(self) -> Callable[[], None]:
+    def _random_event(self) -> Callable[[], None]:
         weights = [weight for weight, _ in self.events]
         return self.random.choices([event for _, event in self.events], weights)[0]
 
-    def _recover(self) -> None:
-        """Take all faults back and start all that is down, and anew what refuses policies."""
+    def _take_faults_back(self) -> None:
+        """End all faults, start all members that are down, and restart routers that refuse policies without their
+        reasons."""
         fleet = self.fleet
         fleet.heal()
         for key, member in fleet.members.items():
@@ -226,7 +244,7 @@
                 fleet.start(key)
 
     def _not_recovered(self) -> list[str]:
-        """Whether all serve one policy, and another one takes hold everywhere."""
+        """Check that all routers serve, and that another change comes into force on all; what failed, in words."""
         fleet = self.fleet
         found = [f"{key} does not serve" for key in fleet.names if key not in fleet.serving()]
         result = fleet.change(b"at last")
