--- a/banklift/rig/schedule.py
+++ b/banklift/rig/schedule.py
@@ -51,7 +51,7 @@
         self.fleet = self._aggregated_fleet() if aggregated else self._direct_fleet()
         self.change_count = 0
         self.damaged: set[str] = set()  # voters whose disk was damaged and that have not voted since
-        self.events: tuple[tuple[float, Callable[[], None]], ...] = (  # with their probabilities
+        self.events: tuple[tuple[float, Callable[[], None]], ...] = (  # each with its probability
             (0.22, self._request_change),
             (0.18, self._kill),
             (0.06, self._leave),
--- a/banklift/rig/world.py
+++ b/banklift/rig/world.py
@@ -46,7 +46,7 @@
 class Disk:
     """A voter's disk: what its state folder holds, and its fault."""
 
-    content: bytes | None = None  # None: nothing was ever written
+    content: bytes | None = None  # the newest record written; None: the folder is empty
     older: list[bytes | None] = field(default_factory=list)  # what it held before, the newest last
     fault: str = ""  # EIO, full: writes fail; lies: writes succeed, and are lost when the process is killed
     durable: bytes | None = None  # what is left after a kill if the disk lies
@@ -103,8 +103,8 @@
     `routers`: number of routers, the first `voters` of which are the voters. `aggregators`: number of aggregators,
     which are spread over `zones` zones. Without any, all routers lease from the voters; otherwise the first `direct`
     ones after the voters do, and all others lease from the aggregators of their zone. `lease` and `sub_lease`: seconds
-    that voters and aggregators grant. `drift`: the rates of two clocks differ by at most this fraction. `node`: the
-    class that runs routers.
+    that voters and aggregators grant. `drift`: the rates of two clocks differ by at most this fraction; each
+    differs from true time by at most half of it. `node`: the class that runs routers.
     """
 
     def __init__(
@@ -458,8 +458,8 @@
         seconds: float = 60.0,
         dry: bool = False,
     ) -> str:
-        """Request a change to a policy and wait for the outcome, as an operator's tool does: if one voter does not
-        answer, it asks another one.
+        """Request a change to the policy with this text and wait for the outcome, as an operator's tool does: if one
+        voter does not answer, it asks another one.
 
         `voter`: the only voter to ask. `patience`: seconds that routers have to check the policy.
         `seconds`: for which the tool waits. `dry`: the change is checked only. Returns the result: a value of `Result`
