--- a/banklift/net/service.py
+++ b/banklift/net/service.py
@@ -389,7 +389,7 @@
         if (self.host.clients or self.env.lingering) and now < kill - SHUTDOWN_POLL_SECONDS:
             self.env.at(now + SHUTDOWN_POLL_SECONDS, lambda: self._stop_when_drained(kill))
             return
-        self.log("left", {"unanswered": len(self.machine.open), "unsent": len(self.env.lingering)})
+        self.log("left", {"unanswered": len(self.machine.pending), "unsent": len(self.env.lingering)})
         self.env.stop()
 
 
--- a/banklift/pg/front.py
+++ b/banklift/pg/front.py
@@ -150,7 +150,7 @@
         self.clients[client_id] = self.idle_clients[client_id] = client
         if not self.sweep_scheduled:
             self.sweep_scheduled = True
-            self.core.at(self.core.now + SWEEP_INTERVAL_S, self._sweep)
+            self.core.call_at(self.core.now + SWEEP_INTERVAL_S, self._sweep)
 
     def data(self, client_id: int, data: bytes) -> None:
         """Bytes came from a client; they are ignored once its connection is closing."""
@@ -209,7 +209,7 @@
         raise AssertionError("the platform has no policies")
 
     def drain(self) -> None:
-        """This router ends at `core.end` (seconds): close idle connections one after another until then.
+        """This router ends at `core.drain_deadline` (seconds): close idle connections one after another until then.
 
         Their clients then don't all connect to the other routers at once, and don't send a query here when there is no
         time left to answer it.
@@ -280,7 +280,10 @@
                 self._close(client)
             return
         if (
-            (self.leaving or (client.has_queried and self.core.now >= self.core.end - DRAIN_CLOSE_LEAD_S))
+            (
+                self.leaving
+                or (client.has_queried and self.core.now >= self.core.drain_deadline - DRAIN_CLOSE_LEAD_S)
+            )
             and not client.queue
             and not len(client.reader)
         ):
@@ -315,7 +318,7 @@
             if len(self.clients) < BUSY_CLIENTS_SHARE * self.limits.clients
             else BUSY_IDLE_TIMEOUT_S
         )
-        if self.core.end < math.inf:
+        if self.core.drain_deadline < math.inf:
             timeout = math.inf  # on shutdown idle connections are closed from `drain_close_from` on instead
         if now >= self.drain_close_from:
             idle = [
@@ -324,7 +327,9 @@
                 if client.has_queried and not len(client.reader)
             ]
             # Spread the closing over the sweeps that remain; clients that have been idle longest come first.
-            share = SWEEP_INTERVAL_S / max(SWEEP_INTERVAL_S, self.core.end - DRAIN_CLOSE_LEAD_S - now)
+            share = SWEEP_INTERVAL_S / max(
+                SWEEP_INTERVAL_S, self.core.drain_deadline - DRAIN_CLOSE_LEAD_S - now
+            )
             for client in idle[: math.ceil(share * len(idle))]:
                 self._close(client)
         for client in list(self.idle_clients.values()):
@@ -347,7 +352,7 @@
                 self._close(client)
         self.sweep_scheduled = bool(self.clients)
         if self.sweep_scheduled:
-            self.core.at(now + SWEEP_INTERVAL_S, self._sweep)
+            self.core.call_at(now + SWEEP_INTERVAL_S, self._sweep)
 
     # ---- messages
 
@@ -406,7 +411,7 @@
         client.queue.append(command)
         self.idle_clients.pop(client.id, None)
         self.pending_ids.add(statement.id)
-        arrived = core.now if core.arrived is None else core.arrived
+        arrived = core.now if core.input_sent_at is None else core.input_sent_at
         since = None if statement.after_ms is None else core.now - statement.after_ms / 1000
         # Without client tokens, the statements of one key form a session.
         session = (
@@ -428,7 +433,7 @@
             label=statement.id,
         )
         # `submit` returns the id, but may call `done` before that: the next id is needed in advance.
-        command.request_id = core.ids + 1
+        command.request_id = core.last_request_id + 1
         self.pending[command.request_id] = client, command
         submitted_id = core.submit(ask)
         assert submitted_id == command.request_id
--- a/banklift/pg/wire.py
+++ b/banklift/pg/wire.py
@@ -33,7 +33,7 @@
 from banklift.pg import frames
 from banklift.pg.frames import FrameError, MemberReader
 from banklift.pg.statement import VALUE_LIMIT, Statement
-from banklift.proxy.machine import Attempt, Machine, Node
+from banklift.proxy.machine import Attempt, Machine, MemberRecord
 from banklift.proxy.wire import Ask, BrokenFrame, Judged, Question, Result, Served, Told
 
 ANSWER_LIMIT = VALUE_LIMIT + 16 * 1024  # bytes of one answer with all its messages
@@ -309,26 +309,26 @@
         """Nothing to do: an answer is one frame."""
         return
 
-    def probing(self, node: Node) -> None:
+    def probing(self, member: MemberRecord) -> None:
         """Nothing to do before a probe."""
         return
 
-    def probed(self, node: Node, asked: float, frame: bytes) -> None:
+    def probed(self, member: MemberRecord, asked: float, frame: bytes) -> None:
         """A probe sent at `asked` (seconds) was answered: report its figures, or a failed probe if there are none."""
         # An ErrorResponse (E) shows that the member is alive; it refuses probes that come too often.
         if any(message_type == 69 for message_type, _, _ in frames.split_messages(frame)):
-            self.core.report(node, asked, None)
+            self.core.report_probe(member, asked, None)
             return
         report = self._without_future_position(read_usage(frame))
         if report is None:
-            self.core.probe_failed(node, asked)
+            self.core.probe_failed(member, asked)
         else:
-            self.core.report(node, asked, report)
+            self.core.report_probe(member, asked, report)
 
-    def probes_failed(self, node: Node) -> None:
+    def probes_failed(self, member: MemberRecord) -> None:
         """Nothing to do: the module knows of the failure."""
         return
 
-    def forget(self, node: Node) -> None:
+    def forget(self, member: MemberRecord) -> None:
         """Nothing to do: nothing is kept per member."""
         return
--- a/banklift/proxy/wire.py
+++ b/banklift/proxy/wire.py
@@ -19,7 +19,7 @@
 from banklift.interface import Report, RequestClass, Status
 
 if TYPE_CHECKING:
-    from banklift.proxy.machine import Attempt, Machine, Node
+    from banklift.proxy.machine import Attempt, Machine, MemberRecord
 
 
 class Reader(Protocol):
@@ -152,7 +152,7 @@
     """
 
     def lore(self) -> object:
-        """The initial state for a new member, kept in `Node.lore`."""
+        """The initial state for a new member, kept in `MemberRecord.protocol_state`."""
 
     def since_write(self, ask: Ask, now: float) -> float | None:
         """For a session's read: seconds since the last commit that it must see; None if there is no such commit."""
@@ -169,19 +169,19 @@
     def early(self, attempt: Attempt) -> None:
         """Use the first frame of an attempt with a status query, before the rest of its answer has arrived."""
 
-    def probing(self, node: Node) -> None:
+    def probing(self, member: MemberRecord) -> None:
         """The balancer is about to probe a member; other members may be probed with it."""
 
-    def probed(self, node: Node, asked: float, frame: bytes) -> None:
+    def probed(self, member: MemberRecord, asked: float, frame: bytes) -> None:
         """Handle the answer to a probe that was asked for at `asked`.
 
-        Calls `Machine.report` or `Machine.probe_failed` once, now or soon.
+        Calls `Machine.report_probe` or `Machine.probe_failed` once, now or soon.
         """
 
-    def probes_failed(self, node: Node) -> None:
+    def probes_failed(self, member: MemberRecord) -> None:
         """A member's probes got no answer; the balancer was told."""
 
-    def forget(self, node: Node) -> None:
+    def forget(self, member: MemberRecord) -> None:
         """Drop what is known about a member that was removed."""
 
 
@@ -272,7 +272,7 @@
         """Apply a new configuration to the requests that arrive from now on."""
 
     def drain(self) -> None:
-        """The router stops at `core.end`; requests are still accepted until `leave`."""
+        """The router stops at `core.drain_deadline`; requests are still accepted until `leave`."""
 
     def leave(self) -> None:
         """Close each connection as soon as no request is pending on it."""
--- a/banklift/resp/front.py
+++ b/banklift/resp/front.py
@@ -183,7 +183,11 @@
                     waiting.place.answer = refused
             queue.waiting.clear()
         for place in list(state.line):
-            if place.request is not None and place.answer is None and not self.core.under_way(place.request):
+            if (
+                place.request is not None
+                and place.answer is None
+                and not self.core.has_running_attempt(place.request)
+            ):
                 self._give_up(place, refused)
         self._flush(state)
 
@@ -266,8 +270,8 @@
         if place.request is None:
             place.answer = untouched
             return
-        touched = self.core.touched(place.request)
-        repeatable = self.core.repeats(place.request)
+        touched = self.core.may_have_run(place.request)
+        repeatable = self.core.safe_to_repeat(place.request)
         self.core.abandon(place.request)
         self.places.pop(place.request, None)
         place.answer = (
@@ -339,7 +343,7 @@
             self.core.actions.append(ev.CloseClient(state.id))
         elif sum(map(len, out)) > FLUSH_PAUSE_BYTES:  # the core's next turn knows whether the client is slow
             self._pause(state)
-            self.core.at(self.core.now, lambda: self._flush(state))
+            self.core.call_at(self.core.now, lambda: self._flush(state))
         elif state.paused and not state.output_full and len(line) <= self.config.limits.pipeline // 2:
             state.paused = False
             self.core.actions.append(ev.ResumeClient(state.id))
@@ -432,12 +436,12 @@
         queue = state.queues.get(group)
         if queue is None:
             queue = state.queues[group] = GroupQueue()
-        arrived = self.core.now if self.core.arrived is None else self.core.arrived
-        deadline = arrived + self.core.patience(request_class)
+        arrived = self.core.now if self.core.input_sent_at is None else self.core.input_sent_at
+        deadline = arrived + self.core.answer_time_limit(request_class)
         if state.line[0] is place:
             state.latest_deadline = deadline
         elif deadline < state.latest_deadline:  # before that of a command ahead of it
-            self.core.at(deadline, lambda: self._overdue(state, place))
+            self.core.call_at(deadline, lambda: self._overdue(state, place))
         else:
             state.latest_deadline = deadline
         waiting = WaitingCommand(place, request_class, exchange, arrived)
@@ -486,7 +490,7 @@
                 self.marks_evicted and bool(state.name) and not marks
             )
         # `submit` may call `done` before it returns the id, so the entry is registered under the next id first
-        request_id = self.core.ids + 1
+        request_id = self.core.last_request_id + 1
         place.request = request_id
         self.places[request_id] = state, place
         submitted_id = self.core.submit(request)
@@ -784,7 +788,7 @@
             ]
             if any(unknown_histories):
                 # a primary that this router has not heard of may have begun a new history
-                self.core.refresh(group)
+                self.core.probe_group(group)
         session_marks = self._session_marks(state)
         for group, seen in marks.items():
             self._merge_mark(session_marks, group, seen)
@@ -820,8 +824,8 @@
             if count >= wanted or self.core.now >= deadline or not counts:
                 return count
             for group in self._session_marks(state):
-                self.core.refresh(group)
-            self.core.at(min(deadline, self.core.now + WAIT_POLL_SECONDS), lambda: self._flush(state))
+                self.core.probe_group(group)
+            self.core.call_at(min(deadline, self.core.now + WAIT_POLL_SECONDS), lambda: self._flush(state))
             return NOT_READY
 
         place.deferred = count_or_poll
--- a/banklift/resp/proofs.py
+++ b/banklift/resp/proofs.py
@@ -23,7 +23,7 @@
 from banklift import interface as io
 from banklift.decide.offsets import ProvenFacts, ReplicationHistory, ReplicationStatus, SessionMark
 from banklift.interface import Need, State, Status
-from banklift.proxy.machine import Attempt, Machine, Node
+from banklift.proxy.machine import Attempt, Machine, MemberRecord
 from banklift.proxy.wire import Ask, Judged, Question, Result, Served, Told
 from banklift.resp.replies import parse_replication_status
 
@@ -52,7 +52,7 @@
         self.core = core
         self.tracks = [ReplicationHistory() for _ in range(groups)]
         # reports that wait for a sample, by group: member, time asked and load
-        self.delayed_reports: dict[int, list[tuple[Node, float, float]]] = {}
+        self.delayed_reports: dict[int, list[tuple[MemberRecord, float, float]]] = {}
 
     def lore(self) -> MemberKnowledge:
         """The knowledge of a member that has not answered yet."""
@@ -76,11 +76,11 @@
 
     def question(self, attempt: Attempt, fresh: bool) -> Question:
         """What to ask the member together with this attempt. `fresh`: the attempt is the first on its link."""
-        need = attempt.open.ask.kind.need
-        lore = attempt.node.lore
-        if need is Need.WRITE and lore.unanswered_since is None:
-            lore.unanswered_since = self.core.now
-        if fresh or lore.doubt:
+        need = attempt.pending.request.kind.need
+        knowledge = attempt.member.protocol_state
+        if need is Need.WRITE and knowledge.unanswered_since is None:
+            knowledge.unanswered_since = self.core.now
+        if fresh or knowledge.doubt:
             return Question.HISTORY_BOTH if need in MARKING_READS else Question.HISTORY
         if need is Need.ANY:  # needs no proof
             return Question.NONE
@@ -88,30 +88,32 @@
 
     def judge(self, attempt: Attempt, result: Result) -> Judged:
         """What a complete answer means for the attempt, the balancer and the client."""
-        request = attempt.open.ask
-        node = attempt.node
+        request = attempt.pending.request
+        member = attempt.member
         now = self.core.now
         status = result.status
         fact = ProvenFacts()
         writes = request.kind.need is Need.WRITE
         if writes:
-            node.lore.unanswered_since = None
+            member.protocol_state.unanswered_since = None
         if result.replication_status is not None:
-            fact = self.learn(node, result.replication_status, attempt.asked, None)
+            fact = self.learn(member, result.replication_status, attempt.written_at, None)
         if status is Status.MISS and writes and fact.primary is None:
             fact = ProvenFacts(primary=False)  # -READONLY means that the member is no primary
         served = None
         if status is Status.OK:
             if not writes and not self.proves(attempt, fact):
                 status = Status.MISS
-            elif not attempt.open.final:
+            elif not attempt.pending.has_final_answer:
                 seen = None
                 if writes:
-                    seen = self.tracks[node.group].make_mark(node.name, fact.offset, now)
+                    seen = self.tracks[member.group].make_mark(member.name, fact.offset, now)
                 elif request.kind.need in MARKING_READS:
                     # what the read showed is no newer than the status after it
-                    after = result.after and self.learn(node, result.after, attempt.asked, None)
-                    seen = self.tracks[node.group].make_mark(node.name, after.offset if after else None, now)
+                    after = result.after and self.learn(member, result.after, attempt.written_at, None)
+                    seen = self.tracks[member.group].make_mark(
+                        member.name, after.offset if after else None, now
+                    )
                 served = Served(result.answer, seen)
         load = result.replication_status.load if result.replication_status is not None else None
         return Judged(
@@ -124,107 +126,117 @@
 
     def proves(self, attempt: Attempt, fact: ProvenFacts) -> bool:
         """Whether the status that the member reported on the same link allows passing this read on."""
-        request = attempt.open.ask
+        request = attempt.pending.request
         match request.kind.need:
             case Need.ANY:
                 return True
             case Need.BOUNDED:
-                floor = attempt.asked - request.kind.bound
+                floor = attempt.written_at - request.kind.bound
             case Need.SESSION if not request.current:
                 return request.seen is None or self.tracks[request.group].covers(fact, request.seen)
             case _:
-                floor = attempt.open.arrived
+                floor = attempt.pending.arrived
         return fact.position is not None and fact.position >= floor
 
     def learn(
-        self, node: Node, reported: ReplicationStatus, asked: float, waiting: float | None
+        self, member: MemberRecord, reported: ReplicationStatus, asked: float, waiting: float | None
     ) -> ProvenFacts:
         """Takes in a member's replication status, asked for at `asked`, and acts on what it implies.
 
         `waiting`: when the oldest write was sent that the member has not answered (see `unanswered_since`
         of `ReplicationHistory.record_answer`).
         """
-        fact = self.tracks[node.group].record_answer(node.name, reported, asked, self.core.now, waiting)
+        fact = self.tracks[member.group].record_answer(member.name, reported, asked, self.core.now, waiting)
         if fact.history_unknown:
-            node.lore.doubt = True
+            member.protocol_state.doubt = True
             # its role may have changed, so ask for its history
-            if node.state is State.READY and not node.probes:
-                self.probing(node)
-                self.core.probe(node)
+            if member.state is State.READY and not member.pending_probes:
+                self.probing(member)
+                self.core.probe(member)
         elif reported.replid is not None:
-            node.lore.doubt = False
+            member.protocol_state.doubt = False
         if fact.data_replaced:
-            self.core.reborn(node)
+            self.core.data_replaced(member)
         return fact
 
     def early(self, attempt: Attempt) -> None:
         """Reports a change of role as soon as the status ahead of a read shows it, as the answer may take longer."""
-        node = attempt.node
+        member = attempt.member
         reported = parse_replication_status(attempt.frames[0])
-        if reported is None or attempt.open.ask.kind.need is Need.WRITE:
+        if reported is None or attempt.pending.request.kind.need is Need.WRITE:
             return
-        was_primary = self.tracks[node.group].primary_member == node.name
-        fact = self.learn(node, reported, attempt.asked, None)
+        was_primary = self.tracks[member.group].primary_member == member.name
+        fact = self.learn(member, reported, attempt.written_at, None)
         if fact.primary is not None and fact.primary != was_primary:
-            self._report(node, attempt.asked, fact.primary, fact.position, reported.load)
+            self._report(member, attempt.written_at, fact.primary, fact.position, reported.load)
 
     # ---- probes
 
-    def probing(self, node: Node) -> None:
+    def probing(self, member: MemberRecord) -> None:
         """A member is about to be probed: probes its primary too, whose sample turns offsets into positions."""
-        primary = self._primary_of(node)
-        if primary is not None and primary is not node and not primary.probes:
+        primary = self._primary_of(member)
+        if primary is not None and primary is not member and not primary.pending_probes:
             self.core.probe(primary)
 
-    def probed(self, node: Node, asked: float, frame: bytes) -> None:
+    def probed(self, member: MemberRecord, asked: float, frame: bytes) -> None:
         """A member has answered a probe: reports it now, or once the sample of the primary has come."""
         core = self.core
         reported = parse_replication_status(frame)
         # an answer without a status: the member is loading, or the router has no permission to ask
         if reported is None:
-            core.probe_failed(node, asked)
+            core.probe_failed(member, asked)
             return
-        waiting = node.lore.unanswered_since
+        waiting = member.protocol_state.unanswered_since
         if waiting is None:
             waiting = min(
                 (
-                    link.attempt.asked
-                    for link in node.links.values()
-                    if link.attempt is not None and link.attempt.open.ask.kind.need is Need.WRITE
+                    link.attempt.written_at
+                    for link in member.links.values()
+                    if link.attempt is not None and link.attempt.pending.request.kind.need is Need.WRITE
                 ),
                 default=None,
             )
-        fact = self.learn(node, reported, asked, waiting)
-        primary = self._primary_of(node)
-        if fact.primary is not True and primary is not None and primary.probes and primary.probes[0] <= asked:
-            self.delayed_reports.setdefault(node.group, []).append((node, asked, reported.load or 0.0))
-            core.at(core.now + SAMPLE_WAIT_SECONDS, lambda: self._send_delayed_reports(node.group))
+        fact = self.learn(member, reported, asked, waiting)
+        primary = self._primary_of(member)
+        if (
+            fact.primary is not True
+            and primary is not None
+            and primary.pending_probes
+            and primary.pending_probes[0] <= asked
+        ):
+            self.delayed_reports.setdefault(member.group, []).append((member, asked, reported.load or 0.0))
+            core.call_at(core.now + SAMPLE_WAIT_SECONDS, lambda: self._send_delayed_reports(member.group))
             return
-        self._report(node, asked, fact.primary, fact.position, reported.load)
+        self._report(member, asked, fact.primary, fact.position, reported.load)
         if fact.primary:
-            self._send_delayed_reports(node.group)
+            self._send_delayed_reports(member.group)
 
-    def probes_failed(self, node: Node) -> None:
+    def probes_failed(self, member: MemberRecord) -> None:
         """The member did not answer its probes: reports that wait for its sample go out without it."""
-        self._send_delayed_reports(node.group)
+        self._send_delayed_reports(member.group)
 
-    def forget(self, node: Node) -> None:
+    def forget(self, member: MemberRecord) -> None:
         """The member is no longer listed."""
-        self.tracks[node.group].forget(node.name)
+        self.tracks[member.group].forget(member.name)
 
-    def _primary_of(self, node: Node) -> Node | None:
+    def _primary_of(self, member: MemberRecord) -> MemberRecord | None:
         """The member that leads the group of this one, if it is known."""
-        name = self.tracks[node.group].primary_member
-        return self.core.nodes.get(name) if name is not None else None
+        name = self.tracks[member.group].primary_member
+        return self.core.members.get(name) if name is not None else None
 
     def _send_delayed_reports(self, group: int) -> None:
         """Sends the delayed reports of a group, as the sample has come or won't come."""
-        for node, asked, load in self.delayed_reports.pop(group, ()):
-            position, _ = self.tracks[group].proven_position(node.name)
-            self._report(node, asked, False, position, load)
+        for member, asked, load in self.delayed_reports.pop(group, ()):
+            position, _ = self.tracks[group].proven_position(member.name)
+            self._report(member, asked, False, position, load)
 
     def _report(
-        self, node: Node, asked: float, primary: bool | None, position: float | None, load: float | None
+        self,
+        member: MemberRecord,
+        asked: float,
+        primary: bool | None,
+        position: float | None,
+        load: float | None,
     ) -> None:
         """Reports a member's role, position and load (commands in flight there), as asked for at `asked`."""
-        self.core.report(node, asked, io.Report(position, primary, load, None, asked))
+        self.core.report_probe(member, asked, io.Report(position, primary, load, None, asked))
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -148,7 +148,7 @@
         site.tell(ev.ClientData(reader, command("APPEND", "note:{a}", "x")))
         site.reads(reader)
         sites[size] = site, reader, site.flood(size)
-        print(f"{size} asked: {len(site.machine.open)} open", file=sys.stderr)
+        print(f"{size} asked: {len(site.machine.pending)} open", file=sys.stderr)
     gc.collect()
     gc.freeze()
     reads: dict[int, list[float]] = {size: [] for size in SIZES}
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -75,9 +75,9 @@
 class Mute(Machine):
     """Forgets to answer one request in twenty."""
 
-    def _finish(self, request: int, final: Final) -> None:
+    def _finish_request(self, request: int, final: Final) -> None:
         if request % ONE_IN:
-            super()._finish(request, final)
+            super()._finish_request(request, final)
 
 
 class Stutter(Machine):
@@ -86,7 +86,7 @@
     def handle(self, now: float, event: ev.Event) -> list[ev.Action]:
         actions = super().handle(now, event)
         for action in list(actions):
-            if isinstance(action, ev.ToClient) and self.ids % ONE_IN == 0:
+            if isinstance(action, ev.ToClient) and self.last_request_id % ONE_IN == 0:
                 actions.append(action)
         return actions
 
@@ -94,20 +94,20 @@
 class Late(Machine):
     """Gives requests more time than their class has."""
 
-    def patience(self, kind: io.RequestClass) -> float:
-        return kind.deadline + 1.0
+    def answer_time_limit(self, request_class: io.RequestClass) -> float:
+        return request_class.deadline + 1.0
 
 
 class Closer(Machine):
     """Closes the connection where it should fail a request."""
 
-    def _finish(self, request: int, final: Final) -> None:
+    def _finish_request(self, request: int, final: Final) -> None:
         if isinstance(final, Served):
-            return super()._finish(request, final)
-        open_ = self.open.pop(request)
-        self.queues.leave(open_.ask.group, open_.ask.kind.name, self.now)
-        self.actions.append(ev.CloseClient(open_.ask.client))
-        self.front.lost(open_.ask.client)
+            return super()._finish_request(request, final)
+        pending = self.pending.pop(request)
+        self.queues.leave(pending.request.group, pending.request.kind.name, self.now)
+        self.actions.append(ev.CloseClient(pending.request.client))
+        self.front.lost(pending.request.client)
 
 
 class Blocked(RespFront):
@@ -120,15 +120,15 @@
 class Zombie(Machine):
     """Sends a request once more after its answer."""
 
-    def _finish(self, request: int, final: Final) -> None:
-        open_ = self.open.get(request)
-        last = open_.attempts[-1] if open_ is not None and open_.attempts else None
-        super()._finish(request, final)
-        if open_ is not None and last is not None and request % ONE_IN == 0 and isinstance(final, Served):
+    def _finish_request(self, request: int, final: Final) -> None:
+        pending = self.pending.get(request)
+        last = pending.attempts[-1] if pending is not None and pending.attempts else None
+        super()._finish_request(request, final)
+        if pending is not None and last is not None and request % ONE_IN == 0 and isinstance(final, Served):
             link = last.link
             if link is not None and link.id in self.links:
-                data = open_.ask.exchange.payload(last.question)
-                self.at(self.now + 0.2, lambda: self.actions.append(ev.ToLink(link.id, data)))
+                data = pending.request.exchange.payload(last.status_query)
+                self.call_at(self.now + 0.2, lambda: self.actions.append(ev.ToLink(link.id, data)))
 
 
 class Undead(Machine):
@@ -143,13 +143,13 @@
 
     last: bytes | None = None
 
-    def _finish(self, request: int, final: Final) -> None:
-        open_ = self.open.get(request)
-        if isinstance(final, Served) and open_ is not None and open_.ask.kind.need is Need.WRITE:
+    def _finish_request(self, request: int, final: Final) -> None:
+        pending = self.pending.get(request)
+        if isinstance(final, Served) and pending is not None and pending.request.kind.need is Need.WRITE:
             before, self.last = self.last, final.answer
             if before is not None and request % 3 == 0:
                 final = Served(before, final.seen)
-        super()._finish(request, final)
+        super()._finish_request(request, final)
 
 
 # ---- no effect twice, true words
@@ -158,37 +158,37 @@
 class Shameless(Machine):
     """Refuses what may have run, whatever it is."""
 
-    def _finish(self, request: int, final: Final) -> None:
-        super()._finish(request, Refused(0.1) if isinstance(final, Failed) else final)
+    def _finish_request(self, request: int, final: Final) -> None:
+        super()._finish_request(request, Refused(0.1) if isinstance(final, Failed) else final)
 
 
 class Smooth(Machine):
     """Calls everything safe to repeat."""
 
-    def _finish(self, request: int, final: Final) -> None:
-        super()._finish(request, Refused(0.1, True) if isinstance(final, Failed) else final)
+    def _finish_request(self, request: int, final: Final) -> None:
+        super()._finish_request(request, Refused(0.1, True) if isinstance(final, Failed) else final)
 
 
 class Innocent(Machine):
     """Says that nothing ran, whatever was sent."""
 
-    def touched(self, request: int) -> bool:
+    def may_have_run(self, request: int) -> bool:
         return False
 
 
 class Doubler(Machine):
     """Sends reads to two members at once."""
 
-    def _send(self, request: int, member: str, timeout: float) -> None:
-        super()._send(request, member, timeout)
-        open_, node = self.open.get(request), self.aliases.get(member)
-        if open_ is None or node is None or open_.ask.kind.need is Need.WRITE or request % ONE_IN:
+    def _start_attempt(self, request: int, member: str, timeout: float) -> None:
+        super()._start_attempt(request, member, timeout)
+        pending, record = self.pending.get(request), self.members_by_balancer_name.get(member)
+        if pending is None or record is None or pending.request.kind.need is Need.WRITE or request % ONE_IN:
             return
-        for other in self.nodes.values():
-            if other.group == node.group and other is not node and (idle := other.idle.get(2)):
+        for other in self.members.values():
+            if other.group == record.group and other is not record and (idle := other.idle_links.get(2)):
                 link = idle.pop()  # never asked again, so its answer goes nowhere
-                del self.idle[link.id]
-                self.actions.append(ev.ToLink(link.id, open_.ask.exchange.payload(Question.NONE)))
+                del self.idle_links[link.id]
+                self.actions.append(ev.ToLink(link.id, pending.request.exchange.payload(Question.NONE)))
                 return
 
 
@@ -196,11 +196,11 @@
     """Acknowledges writes that it sends nowhere."""
 
     def submit(self, ask: Ask) -> int:
-        if ask.kind.need is Need.WRITE and (self.ids + 1) % ONE_IN == 0:
-            self.ids += 1
-            ask.ids.append(self.ids)
+        if ask.kind.need is Need.WRITE and (self.last_request_id + 1) % ONE_IN == 0:
+            self.last_request_id += 1
+            ask.ids.append(self.last_request_id)
             self.front.done(ask, Served(b":5\r\n"))
-            return self.ids
+            return self.last_request_id
         return super().submit(ask)
 
 
@@ -210,23 +210,23 @@
 class Deaf(Machine):
     """Hears the first roster only."""
 
-    def _roster(self, members: tuple[ev.Listed, ...], kind: io.ListKind = io.ListKind.FULL) -> None:
-        if not self.nodes:
-            super()._roster(members)
+    def _apply_roster(self, members: tuple[ev.Listed, ...], kind: io.ListKind = io.ListKind.FULL) -> None:
+        if not self.members:
+            super()._apply_roster(members)
 
 
 class HalfDeaf(Machine):
     """Takes every member that is listed for ready."""
 
-    def _roster(self, members: tuple[ev.Listed, ...], kind: io.ListKind = io.ListKind.FULL) -> None:
-        super()._roster(tuple(msgspec.structs.replace(one, state=io.State.READY) for one in members))
+    def _apply_roster(self, members: tuple[ev.Listed, ...], kind: io.ListKind = io.ListKind.FULL) -> None:
+        super()._apply_roster(tuple(msgspec.structs.replace(one, state=io.State.READY) for one in members))
 
 
 class Young(Machine):
     """Takes every member for a warm one."""
 
-    def _roster(self, members: tuple[ev.Listed, ...], kind: io.ListKind = io.ListKind.FULL) -> None:
-        super()._roster(tuple(msgspec.structs.replace(one, started=None) for one in members))
+    def _apply_roster(self, members: tuple[ev.Listed, ...], kind: io.ListKind = io.ListKind.FULL) -> None:
+        super()._apply_roster(tuple(msgspec.structs.replace(one, started=None) for one in members))
 
 
 # ---- no stale read
@@ -275,18 +275,18 @@
 class Forgetful(Machine):
     """Keeps no mark of what a session has read."""
 
-    def _finish(self, request: int, final: Final) -> None:
-        open_ = self.open.get(request)
-        if isinstance(final, Served) and open_ is not None and open_.ask.kind.need is not Need.WRITE:
+    def _finish_request(self, request: int, final: Final) -> None:
+        pending = self.pending.get(request)
+        if isinstance(final, Served) and pending is not None and pending.request.kind.need is not Need.WRITE:
             final = Served(final.answer)
-        super()._finish(request, final)
+        super()._finish_request(request, final)
 
 
 class Amnesiac(Machine):
     """Keeps no mark of what a session has written."""
 
-    def _finish(self, request: int, final: Final) -> None:
-        super()._finish(request, Served(final.answer) if isinstance(final, Served) else final)
+    def _finish_request(self, request: int, final: Final) -> None:
+        super()._finish_request(request, Served(final.answer) if isinstance(final, Served) else final)
 
 
 def swapping(need: Need, among: tuple[Need, ...] | None = None) -> type[Machine]:
@@ -296,15 +296,15 @@
     class Swapping(Machine):
         last: bytes | None = None
 
-        def _finish(self, request: int, final: Final) -> None:
-            open_ = self.open.get(request)
-            if isinstance(final, Served) and open_ is not None:
+        def _finish_request(self, request: int, final: Final) -> None:
+            pending = self.pending.get(request)
+            if isinstance(final, Served) and pending is not None:
                 before = self.last
-                if open_.ask.kind.need in (among or (need,)):
+                if pending.request.kind.need in (among or (need,)):
                     self.last = final.answer
-                if open_.ask.kind.need is need and before is not None and request % 5 == 0:
+                if pending.request.kind.need is need and before is not None and request % 5 == 0:
                     final = Served(before, final.seen)
-            super()._finish(request, final)
+            super()._finish_request(request, final)
 
     return Swapping
 
@@ -334,18 +334,18 @@
 
     def submit(self, ask: Ask) -> int:
         key = ask.exchange.payload(Question.NONE).partition(b":rid:")[0]
-        if ask.kind.need is Need.ANY and key in self.cache and self.ids % 3 == 0:
-            self.ids += 1
-            ask.ids.append(self.ids)
+        if ask.kind.need is Need.ANY and key in self.cache and self.last_request_id % 3 == 0:
+            self.last_request_id += 1
+            ask.ids.append(self.last_request_id)
             self.front.done(ask, Served(self.cache[key]))
-            return self.ids
+            return self.last_request_id
         return super().submit(ask)
 
-    def _finish(self, request: int, final: Final) -> None:
-        open_ = self.open.get(request)
-        if isinstance(final, Served) and open_ is not None:
-            self.cache[open_.ask.exchange.payload(Question.NONE).partition(b":rid:")[0]] = final.answer
-        super()._finish(request, final)
+    def _finish_request(self, request: int, final: Final) -> None:
+        pending = self.pending.get(request)
+        if isinstance(final, Served) and pending is not None:
+            self.cache[pending.request.exchange.payload(Question.NONE).partition(b":rid:")[0]] = final.answer
+        super()._finish_request(request, final)
 
 
 SAFE: dict[str, object] = {"effect": Effect.SAFE}
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -213,9 +213,9 @@
         for name, node in self.nodes.items():
             member = self.machine.balancer.members.get(name)
             assert (len(member.in_flight) if member is not None else 0) == node.open, name
-        assert len(self.machine.flying) == sum(node.open for node in self.nodes.values())
-        if not self.machine.flying:
-            assert not self.machine.open and not self.front.pending and not self.front.pending_ids
+        assert len(self.machine.in_flight) == sum(node.open for node in self.nodes.values())
+        if not self.machine.in_flight:
+            assert not self.machine.pending and not self.front.pending and not self.front.pending_ids
             assert not self.machine.balancer.requests
 
 
--- a/tests/test_adopt.py
+++ b/tests/test_adopt.py
@@ -47,7 +47,7 @@
     change(rig, **changes)
     rig.wait(3.0)
     assert rig.answer().startswith(b"-TRYAGAIN refused: nothing ran")
-    assert not rig.machine.open
+    assert not rig.machine.pending
 
 
 def test_a_shorter_deadline_applies_to_new_requests_only() -> None:
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -89,7 +89,7 @@
     site.run(signalled_at + KILL + DEADLINE - 0.2 - world.now())
     assert code(silent.told()) == "40003"
     assert [kind for kind, _ in fresh.told()] == ["T", "D", "C", "Z"]
-    assert not site.machine.open
+    assert not site.machine.pending
     site.run(0.2)
     assert half.ended and silent.ended and fresh.ended
     assert 0 < world.ended <= signalled_at + KILL + DEADLINE
@@ -133,7 +133,7 @@
     half = Caller(site, start=False)
     half.say(frames.startup("backend", "store") + frames.query(site.write().encode())[:40], 0.0)
     site.run(signalled_at + KILL + DEADLINE - world.now())
-    assert not site.machine.open and 0 < world.ended <= signalled_at + KILL + DEADLINE
+    assert not site.machine.pending and 0 < world.ended <= signalled_at + KILL + DEADLINE
     for caller in waiting:
         assert [kind for kind, _ in caller.told()] == ["E", "Z"] and caller.ended  # the nodes never answer
     assert [kind for kind, _ in late.told()][-2:] in (["C", "Z"], ["E", "Z"])
@@ -174,7 +174,7 @@
     signalled_at = world.now()
     site.service.signalled(signal.SIGTERM, signalled_at)
     site.run(KILL + LONGEST - 0.2)
-    assert code(caller.told()) == "53300" and not site.machine.open
+    assert code(caller.told()) == "53300" and not site.machine.pending
     site.run(0.2)
     assert caller.ended and 0 < world.ended <= signalled_at + KILL + LONGEST
 
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -83,8 +83,8 @@
                     self.sent[link] = self.sent.get(link, b"") + data
                 case ev.OpenLink(link, address):
                     if any(
-                        node.prober is not None and node.prober.id == link
-                        for node in self.machine.nodes.values()
+                        member.probe_link is not None and member.probe_link.id == link
+                        for member in self.machine.members.values()
                     ):
                         self.probing.add(link)
                         opened.append(link)
@@ -447,8 +447,8 @@
     link = rig.up("p:1")
     rig.offsets.clear()
     rig.tell(ev.LinkLost(link, "reset"))
-    (request,) = rig.machine.open.values()
-    assert request.ask.kind.name == stamp.name
+    (request,) = rig.machine.pending.values()
+    assert request.request.kind.name == stamp.name
     rig.now += stamp.window + past
     rig.tell(ev.ClientEof(1))
     assert rig.answer().startswith(word)
@@ -542,13 +542,13 @@
     rig = Rig()
     rig.ask("SET", "note:1", "a")
     rig.tell(ev.LinkData(rig.up("p:1"), b"+OK\r\n" + info(True, 5)))
-    node = rig.machine.nodes["r"]
-    rig.proofs.learn(node, ReplicationStatus(False, 5, "p:1", replid=A), rig.now, None)
-    before = len(node.probes)
-    rig.proofs.learn(node, ReplicationStatus(True, 5), rig.now, None)
-    assert node.lore.doubt and len(node.probes) == before + 1
-    rig.proofs.learn(node, ReplicationStatus(True, 5), rig.now, None)
-    assert len(node.probes) == before + 1  # once is enough
+    member = rig.machine.members["r"]
+    rig.proofs.learn(member, ReplicationStatus(False, 5, "p:1", replid=A), rig.now, None)
+    before = len(member.pending_probes)
+    rig.proofs.learn(member, ReplicationStatus(True, 5), rig.now, None)
+    assert member.protocol_state.doubt and len(member.pending_probes) == before + 1
+    rig.proofs.learn(member, ReplicationStatus(True, 5), rig.now, None)
+    assert len(member.pending_probes) == before + 1  # once is enough
 
 
 def test_a_new_primary_that_answers_slowly_is_known_by_the_status_in_front() -> None:
@@ -583,14 +583,14 @@
     rig = Rig(probe=0.5)
     rig.offsets.clear()
     rig.ask("SET", "pick:1", "a")
-    node = rig.machine.nodes["p"]
-    first = node.prober
-    assert first is not None and node.probes
+    member = rig.machine.members["p"]
+    first = member.probe_link
+    assert first is not None and member.pending_probes
     rig.wait(0.45)
     assert first.id not in rig.closed
     rig.wait(0.1)
     assert first.id in rig.closed
-    assert node.prober is not first
+    assert member.probe_link is not first
 
 
 def test_a_probe_of_a_replica_asks_the_primary_for_a_sample() -> None:
@@ -598,24 +598,24 @@
     rig.ask("SET", "note:1", "a")
     rig.tell(ev.LinkData(rig.up("p:1"), b"+OK\r\n" + info(True, 5)))
     rig.offsets.clear()
-    primary, replica = rig.machine.nodes["p"], rig.machine.nodes["r"]
-    primary.probes.clear()
+    primary, replica = rig.machine.members["p"], rig.machine.members["r"]
+    primary.pending_probes.clear()
     rig.machine.actions = []
     rig.proofs.probing(replica)
     rig.machine.probe(replica)
-    assert primary.probes and replica.probes
-    primary.probes.clear()
+    assert primary.pending_probes and replica.pending_probes
+    primary.pending_probes.clear()
     rig.machine.probe(replica)
-    assert not primary.probes
+    assert not primary.pending_probes
 
 
 def test_links_that_could_not_be_opened_make_room_for_others() -> None:
     rig = Rig()
     rig.ask("SET", "pick:1", "a")
-    node = rig.machine.nodes["p"]
-    assert node.connecting == 1
+    member = rig.machine.members["p"]
+    assert member.connecting == 1
     rig.tell(ev.LinkLost(rig.link("p:1"), "refused"))
-    assert node.connecting == len([link for link in node.links.values() if not link.up])
+    assert member.connecting == len([link for link in member.links.values() if not link.up])
 
 
 def test_a_member_that_is_no_longer_listed_gets_nothing_and_its_links_are_closed() -> None:
@@ -626,7 +626,7 @@
     rig.tell(ev.LinkData(link, info(False, 5) + b"$1\r\nx\r\n"))
     assert rig.answer(2) == b"$1\r\nx\r\n"
     rig.tell(ev.Roster((ev.Listed("p", 0, "p:1", State.READY, True),)))
-    assert link in rig.closed and set(rig.machine.nodes) == {"p"}
+    assert link in rig.closed and set(rig.machine.members) == {"p"}
     before = len(rig.data_links("r:1"))
     rig.ask("GET", "alert:1", client=2)
     rig.wait(0.5)
@@ -661,12 +661,12 @@
     rig.ask("SET", "note:1", "a")
     rig.tell(ev.LinkData(rig.up("p:1"), b"+OK\r\n" + info(True, 5)))
     rig.offsets.clear()
-    for node in rig.machine.nodes.values():
-        node.probes.clear()
+    for member in rig.machine.members.values():
+        member.pending_probes.clear()
     rig.ask("BANKLIFT.SEEN", f"west={A}:5")
-    assert not any(node.probes for node in rig.machine.nodes.values())
+    assert not any(member.pending_probes for member in rig.machine.members.values())
     rig.ask("BANKLIFT.SEEN", f"west={B}:9")
-    assert all(node.probes for node in rig.machine.nodes.values())
+    assert all(member.pending_probes for member in rig.machine.members.values())
 
 
 def test_no_command_is_started_after_a_large_batch_of_answers_until_they_are_read() -> None:
@@ -683,12 +683,12 @@
     for link in reversed(links):
         rig.tell(ev.LinkData(link, info(rig.links[link] == "p:1", 5) + value))
     assert len(rig.answer()) == 2 * len(value)
-    assert not rig.machine.open
+    assert not rig.machine.pending
     rig.tell(ev.ClientFull(1))
     rig.wait(0.01)
-    assert not rig.machine.open
+    assert not rig.machine.pending
     rig.tell(ev.ClientFree(1))
-    assert len(rig.machine.open) == 2
+    assert len(rig.machine.pending) == 2
 
 
 def test_a_read_without_a_status_answer_behind_it_leaves_a_mark_of_the_present() -> None:
@@ -730,7 +730,7 @@
                 rig.now + 2,
             ),
             0,
-            rig.machine.nodes["r"],
+            rig.machine.members["r"],
             "r",
             rig.now,
             rig.now + 2,
@@ -744,7 +744,7 @@
     rig = Rig()
     rig.ask("GET", "alert:1")
     link = max(rig.data_links("p:1") + rig.data_links("r:1"))
-    (attempt,) = rig.machine.flying.values()
+    (attempt,) = rig.machine.in_flight.values()
     rig.tell(ev.LinkLost(link, "refused"))
     assert attempt.ended and link not in rig.machine.links
 
@@ -755,13 +755,13 @@
     link = rig.up("p:1")
     rig.tell(ev.LinkData(link, b"+OK\r\n" + info(True, 5)))
     rig.tell(ev.LinkLost(link, "reset"))  # while it was idle
-    assert link not in rig.machine.links and not any(rig.machine.nodes["p"].idle.values())
+    assert link not in rig.machine.links and not any(rig.machine.members["p"].idle_links.values())
     rig.ask("SET", "note:1", "b")
     other = rig.up("p:1")
     assert other != link and b"\r\nb\r\n" in rig.sent[other]
     rig.tell(ev.ClientLost(1))  # its attempt is cancelled, which closes the link
     assert (
-        other in rig.closed and other not in rig.machine.links and other not in rig.machine.nodes["p"].links
+        other in rig.closed and other not in rig.machine.links and other not in rig.machine.members["p"].links
     )
 
 
@@ -771,11 +771,11 @@
         rig.tell(ev.ClientOpened(client))
         rig.ask("SET", "note:1", "a", client=client)
     for _ in range(3):
-        node = rig.machine.nodes["p"]
-        assert len(node.links) <= 1
-        if node.links:
-            rig.tell(ev.LinkLost(next(iter(node.links)), "refused"))
-    assert len(rig.machine.nodes["p"].links) <= 1
+        member = rig.machine.members["p"]
+        assert len(member.links) <= 1
+        if member.links:
+            rig.tell(ev.LinkLost(next(iter(member.links)), "refused"))
+    assert len(rig.machine.members["p"].links) <= 1
 
 
 def test_names_and_log_ins_of_hello() -> None:
--- a/tests/test_many_members.py
+++ b/tests/test_many_members.py
@@ -67,17 +67,17 @@
 
 def test_all_members_are_in_the_configuration() -> None:
     fleet = Fleet(known=True)
-    assert len(fleet.machine.nodes) == len(fleet.machine.balancer.members) == MEMBERS
+    assert len(fleet.machine.members) == len(fleet.machine.balancer.members) == MEMBERS
     check_that_all_groups_are_served(fleet)
 
 
 def test_all_members_come_by_discovery_and_change_at_once() -> None:
     fleet = Fleet(known=False)
-    assert len(fleet.machine.nodes) == MEMBERS
+    assert len(fleet.machine.members) == MEMBERS
     for name, node in list(fleet.nodes.items())[GROUPS:]:
         fleet.catalogue.list(name, node.address, int(name[2:], 16) % GROUPS, state="DRAINING")
     fleet.run(1.0)
-    draining = [node for node in fleet.machine.nodes.values() if node.state.name == "DRAINING"]
+    draining = [member for member in fleet.machine.members.values() if member.state.name == "DRAINING"]
     assert len(draining) == MEMBERS - GROUPS
     for name, node in list(fleet.nodes.items())[GROUPS:]:
         fleet.catalogue.list(name, node.address, int(name[2:], 16) % GROUPS)
@@ -94,13 +94,13 @@
         for group in range(GROUPS):
             assert value(caller.ask(fleet.read("any", f"k{round_number}", cluster=group)))
     assert len(fleet.machine.links) == max_links
-    idle_since = [link.since for link in fleet.machine.idle.values()]
+    idle_since = [link.idle_since for link in fleet.machine.idle_links.values()]
     assert idle_since == sorted(idle_since)
-    linked_before = {link.node.name for link in fleet.machine.links.values()}
-    longest_idle = next(iter(fleet.machine.idle.values())).node.name
+    linked_before = {link.member.name for link in fleet.machine.links.values()}
+    longest_idle = next(iter(fleet.machine.idle_links.values())).member.name
     unlinked = next(name for name in fleet.nodes if name not in linked_before)
-    fleet.machine.at(fleet.world.now(), lambda: fleet.machine.probe(fleet.machine.nodes[unlinked]))
+    fleet.machine.call_at(fleet.world.now(), lambda: fleet.machine.probe(fleet.machine.members[unlinked]))
     fleet.host.alarm.look()
     fleet.run(0.05)
-    linked = {link.node.name for link in fleet.machine.links.values()}
+    linked = {link.member.name for link in fleet.machine.links.values()}
     assert unlinked in linked and longest_idle not in linked and len(fleet.machine.links) == max_links
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -88,7 +88,7 @@
     site = Site(delay=0.02)
     caller = Caller(site)
     caller.say(b"".join(frames.query(site.read("any", f"k{number}").encode()) for number in range(300)), 0.01)
-    assert 0 < len(site.machine.open) <= 16
+    assert 0 < len(site.machine.pending) <= 16
     site.run(3.0)
     assert len([kind for kind, _ in caller.told() if kind == "Z"]) == 300
     site.balanced()
@@ -228,7 +228,7 @@
     assert site.nodes["p"].open == 1
     caller.handle.close()
     site.run(0.05)
-    assert not site.machine.open and not site.front.clients
+    assert not site.machine.pending and not site.front.clients
     site.run(0.5)
     assert len(site.nodes["p"].seen) == 1  # the write ran once
     site.balanced()
@@ -452,7 +452,7 @@
     assert all(peer.open == 0 for peer in site.nodes["r1"].connections)
     site.catalogue.list("r1", site.nodes["r1"].address, state="DELETED")
     site.run(0.05)
-    assert "r1" not in site.machine.nodes and "r1" not in site.machine.balancer.members
+    assert "r1" not in site.machine.members and "r1" not in site.machine.balancer.members
     assert not site.nodes["r1"].connections
 
 
@@ -466,8 +466,8 @@
     moved = PgNode(site.world, "10.0.0.77:6432").start()
     site.catalogue.list("r2", moved.address)
     site.run(0.1)
-    assert sorted(site.machine.nodes) == ["p", "r2", "r9"]
-    assert site.machine.nodes["r2"].address == moved.address
+    assert sorted(site.machine.members) == ["p", "r2", "r9"]
+    assert site.machine.members["r2"].address == moved.address
     for _ in range(30):
         assert value(caller.ask(site.read("any"))) == b"none"
     assert moved.seen and not site.nodes["r2"].connections
@@ -501,8 +501,8 @@
     site.run(30.0)
     site.balanced()
     machine, balancer = site.machine, site.machine.balancer
-    assert len(machine.nodes) == len(machine.aliases) == len(balancer.members) == 3
-    assert not machine.open and not site.front.clients and not balancer.sessions
+    assert len(machine.members) == len(machine.members_by_balancer_name) == len(balancer.members) == 3
+    assert not machine.pending and not site.front.clients and not balancer.sessions
     assert len(machine.links) <= 3 and len(site.host.links) == len(machine.links)
     assert len(balancer.timers) <= 3 and len(machine.timers) <= 12
 
@@ -519,7 +519,7 @@
     calls = len(site.catalogue.calls)
     site.catalogue.failing = False
     site.run(10.0)
-    assert site.machine.nodes["r1"].state is State.DRAINING
+    assert site.machine.members["r1"].state is State.DRAINING
     assert len(site.catalogue.calls) - calls < 12  # the rate of calls stays bounded
 
 
@@ -533,8 +533,8 @@
     other.list("r2", site.nodes["r2"].address, state="DRAINING")
     site.discovery.move(other.address)
     site.run(0.1)
-    assert site.machine.nodes["r2"].state is State.DRAINING
-    assert site.machine.nodes["r1"].state is State.READY
+    assert site.machine.members["r2"].state is State.DRAINING
+    assert site.machine.members["r1"].state is State.READY
 
 
 VANISHED = {**SETTINGS, "rules": {**SETTINGS["rules"], "dropped_stay_open": True}}
@@ -550,7 +550,7 @@
     site.catalogue.list("p", site.nodes["p"].address, state="DRAINING")
     site.catalogue.list("p", site.nodes["p"].address, state="DELETED")
     site.run(0.1)
-    assert "p" not in site.machine.nodes and "p" not in site.machine.balancer.members
+    assert "p" not in site.machine.members and "p" not in site.machine.balancer.members
     site.balanced()
 
 
@@ -567,10 +567,11 @@
 
 def test_an_attempt_on_a_member_unknown_to_the_machine_ends_as_refused() -> None:
     site = Site()
-    del site.machine.aliases["p"]  # the module may still know a member that the machine has dropped
+    # the module may still know a member that the machine has dropped
+    del site.machine.members_by_balancer_name["p"]
     caller = Caller(site)
     told = caller.ask(site.write(patience=1500), 1.6)
-    assert code(told) == "53300" and not site.machine.open and not site.machine.balancer.requests
+    assert code(told) == "53300" and not site.machine.pending and not site.machine.balancer.requests
 
 
 def test_a_group_missing_from_the_roster_is_refused_and_counts_as_no_fault_of_the_client() -> None:
@@ -578,7 +579,7 @@
     caller = Caller(site)
     for cluster in range(70, 76):  # more often than bad statements are accepted
         assert code(caller.ask(site.read("any", cluster=cluster))) == "53300"
-    assert not caller.ended and set(site.machine.balancer.groups) == {0} and not site.machine.open
+    assert not caller.ended and set(site.machine.balancer.groups) == {0} and not site.machine.pending
     site.catalogue.list("n", site.nodes["r1"].address, group=70)
     site.run(0.1)
     assert value(caller.ask(site.read("any", cluster=70), 0.2))
@@ -588,7 +589,7 @@
 
 
 def probe(site: Site, name: str) -> None:
-    site.machine.at(site.world.now(), lambda: site.machine.probe(site.machine.nodes[name]))
+    site.machine.call_at(site.world.now(), lambda: site.machine.probe(site.machine.members[name]))
     site.host.alarm.look()
     site.run(0.02)
 
@@ -612,12 +613,12 @@
         probe(site, "p")
         assert value(caller.ask(site.write()))
     assert node.probes >= 5 and len(node.connections) == 1
-    assert site.machine.nodes["p"].prober is None and not site.machine.nodes["p"].probes
+    assert site.machine.members["p"].probe_link is None and not site.machine.members["p"].pending_probes
 
 
 def test_a_member_that_refuses_a_probe_counts_as_alive() -> None:
     site = Site()
-    node, known = site.nodes["r1"], site.machine.nodes["r1"]
+    node, known = site.nodes["r1"], site.machine.members["r1"]
     node.usage = lambda: frames.error("57P03", "asked too often")  # type: ignore[method-assign]
     probe(site, "r1")
     member = site.machine.balancer.members["r1"]
@@ -625,18 +626,18 @@
         member.last_report_at == member.last_heard_at > member.probed_at
         and site.machine.balancer.is_healthy(member)
     )
-    assert known.prober is None and len(known.idle[0]) == 1  # the link stays usable for requests
+    assert known.probe_link is None and len(known.idle_links[0]) == 1  # the link stays usable for requests
 
 
 def test_an_unanswered_probe_closes_its_link_and_an_attempt_opens_another() -> None:
     site = Site()
-    node, known = site.nodes["p"], site.machine.nodes["p"]
+    node, known = site.nodes["p"], site.machine.members["p"]
     node.usage = lambda: b""  # type: ignore[method-assign]
     probe(site, "p")
     site.run(0.08)
     assert value(Caller(site).ask(site.write(), 0.2))
     site.run(0.3)
-    assert known.prober is None and not known.probes and len(node.connections) == 1
+    assert known.probe_link is None and not known.pending_probes and len(node.connections) == 1
 
 
 # ---- shutdown
@@ -720,15 +721,15 @@
 
 def test_a_probe_queued_behind_a_malformed_answer_ends_too() -> None:
     site = Site()
-    node = site.machine.nodes["r1"]
-    site.machine.probe(node)
-    assert node.prober is not None
+    member = site.machine.members["r1"]
+    site.machine.probe(member)
+    assert member.probe_link is not None
     for event in (
-        ev.LinkUp(node.prober.id),
-        ev.LinkData(node.prober.id, frames.AUTHENTICATED + frames.READY),
+        ev.LinkUp(member.probe_link.id),
+        ev.LinkData(member.probe_link.id, frames.AUTHENTICATED + frames.READY),
     ):
         site.machine.handle(site.world.now(), event)
-    site.machine.probe(node)
+    site.machine.probe(member)
     usage = site.nodes["r1"].usage() + frames.READY
-    site.machine.handle(site.world.now(), ev.LinkData(node.prober.id, usage + b"\0noise"))
-    assert not node.probes and node.prober is None
+    site.machine.handle(site.world.now(), ev.LinkData(member.probe_link.id, usage + b"\0noise"))
+    assert not member.pending_probes and member.probe_link is None
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -118,9 +118,9 @@
     for client in range(2, 12):
         rig.tell(ev.ClientOpened(client))
         rig.ask("GET", "alert:1", client=client)
-    assert {node.name: node.queued for node in rig.machine.nodes.values()} == {"p": 2, "r": 2}
+    assert {member.name: member.waiting_count for member in rig.machine.members.values()} == {"p": 2, "r": 2}
     rig.wait(3.0)
-    assert all(rig.answer(client) for client in range(2, 12)) and not rig.machine.open
+    assert all(rig.answer(client) for client in range(2, 12)) and not rig.machine.pending
 
 
 def test_nothing_remains_after_a_flood_of_requests() -> None:
@@ -134,15 +134,18 @@
         rig.tell(ev.ClientOpened(client))
         rig.ask("SET" if client % 2 else "GET", "note:1", *("a",) * (client % 2), client=client)
     machine = rig.machine
-    assert len(machine.open) > 300
+    assert len(machine.pending) > 300
     Random(1).shuffle(clients)
     for client in clients:
         rig.tell(ev.ClientLost(client))
     rig.wait(1.0)
     group = machine.balancer.groups[0]
-    assert not machine.open and not machine.flying and not machine.balancer.requests
+    assert not machine.pending and not machine.in_flight and not machine.balancer.requests
     assert not any(group.held.values()) and not group.hold_ends
-    assert all(node.queued == 0 and not any(node.waiting.values()) for node in machine.nodes.values())
+    assert all(
+        member.waiting_count == 0 and not any(member.waiting_attempts.values())
+        for member in machine.members.values()
+    )
     assert all(queue.pending == 0 for queue in machine.queues.queues.values())
     assert len(machine.front.clients) == 1  # type: ignore[attr-defined]
     assert not machine.front.places  # type: ignore[attr-defined]
@@ -160,7 +163,7 @@
     rig.wait(0.05)
     answers = rig.answer()
     assert answers.startswith(b"-UNCERTAIN") and answers.endswith(b"+PONG\r\n")
-    assert not rig.machine.open and not rig.machine.front.places  # type: ignore[attr-defined]
+    assert not rig.machine.pending and not rig.machine.front.places  # type: ignore[attr-defined]
 
 
 def test_an_unsafe_write_in_flight_that_is_given_up_fails_as_uncertain() -> None:
@@ -171,7 +174,9 @@
     assert rig.answer().startswith(b"-UNCERTAIN failed: it may have run")
     assert link in rig.closed  # so its late answer cannot reach another request
     rig.ask("SET", "pick:1", "b")  # the client may send again
-    assert any(b"\r\nb\r\n" in data for other, data in rig.sent.items() if other != link) or rig.machine.open
+    assert (
+        any(b"\r\nb\r\n" in data for other, data in rig.sent.items() if other != link) or rig.machine.pending
+    )
 
 
 def test_giving_up_a_request_may_end_others_of_its_pipeline() -> None:
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -61,7 +61,7 @@
     site.machine.balancer.members["p"].load = 1e6  # so the balancer chooses a replica
     seen = {name: len(node.seen) for name, node in site.nodes.items()}
     caller.say(frames.query(site.read("view", "k").encode()), 0.01)
-    assert len(site.machine.flying) == 1
+    assert len(site.machine.in_flight) == 1
     site.machine.balancer.members["p"].load = 0.0  # so the primary may serve it later
     site.run(0.3)
     for name in ("r1", "r2"):
@@ -130,7 +130,7 @@
     site.world.late[site.nodes["p"].address] = 0.2
     before = len(site.nodes["p"].seen)
     caller.say(frames.query(site.write("k", "02").encode()), 0.01)
-    assert len(site.machine.flying) == 1
+    assert len(site.machine.in_flight) == 1
     caller.handle.close()
     site.run(1.0)
     assert len(site.nodes["p"].seen) == before
@@ -149,7 +149,7 @@
     assert opening
     site.run(2.0 + site.start.connect + LATE_CONNECT_GRACE)
     assert not any(link.id in site.machine.links for link in opening)
-    assert not site.machine.nodes["p"].connecting and not site.machine.awaiting_link
+    assert not site.machine.members["p"].connecting and not site.machine.awaiting_link
     site.world.late.clear()
     assert code(caller.told()) == "53300"
     assert value(Caller(site).ask(site.write("k", "03"), 0.5)) == b"\x03"
@@ -165,13 +165,13 @@
     seen = {name: len(node.seen) for name, node in site.nodes.items()}
     text = site.write("k", "02") if kind == "save" else site.read("any", "k")
     caller.handle.send(frames.query(text.encode()))
-    while not site.machine.flying:
+    while not site.machine.in_flight:
         site.run(0.00001)
-    (attempt,) = site.machine.flying.values()
+    (attempt,) = site.machine.in_flight.values()
     assert attempt.link is not None  # written, but not yet at the node
-    cut_off(site, attempt.node.name)
+    cut_off(site, attempt.member.name)
     site.run(0.1)
-    assert len(site.nodes[attempt.node.name].seen) == seen[attempt.node.name]
+    assert len(site.nodes[attempt.member.name].seen) == seen[attempt.member.name]
     told = caller.told()
     if kind == "save":
         assert code(told) == "40003"  # the router can't tell that it has not run
@@ -207,7 +207,7 @@
     assert value(caller.told()) == b"\x02"
     site.run(1.0)  # the late connection is established by now, and usable
     assert value(Caller(site).ask(site.write("k", "03"))) == b"\x03"
-    assert not any(node.connecting for node in site.machine.nodes.values())
+    assert not any(member.connecting for member in site.machine.members.values())
     site.balanced()
 
 
@@ -221,12 +221,12 @@
     caller.say(
         frames.query((site.write("k", "02") if kind == "save" else site.read("any", "k")).encode()), 0.05
     )
-    (attempt,) = site.machine.flying.values()
+    (attempt,) = site.machine.in_flight.values()
     for node in site.nodes.values():
         node.answers.clear()
     site.run(0.25 if kind == "any" else 1.2)
     assert caller.told() == []
-    cut_off(site, attempt.node.name)
+    cut_off(site, attempt.member.name)
     site.run(0.1)
     if kind == "save":
         assert code(caller.told()) == "40003"
@@ -249,9 +249,9 @@
     while len(site.front.clients) < 2:
         site.run(0.00001)
     caller.handle.send(frames.startup("backend", "store") + frames.query(site.write("k", "02").encode()))
-    while moment != "accepted" and not site.machine.open:
+    while moment != "accepted" and not site.machine.pending:
         site.run(0.00001)
-    assert bool(site.machine.open) is (moment != "accepted")
+    assert bool(site.machine.pending) is (moment != "accepted")
     site.service.signalled(signal.SIGTERM, site.world.now())
     site.run(0.5)
     assert [kind for kind, _ in caller.told()][-4:] == ["T", "D", "C", "Z"]
@@ -274,10 +274,10 @@
     before = sum(len(node.seen) for node in site.nodes.values())
     caller.say(b"".join(frames.query(site.write(f"k{place}").encode()) for place in range(40)), 0.01)
     (state,) = site.front.clients.values()
-    assert state.paused and len(site.machine.open) == 16
+    assert state.paused and len(site.machine.pending) == 16
     caller.handle.close()
     site.run(0.01)
-    assert not site.machine.open and not site.front.clients
+    assert not site.machine.pending and not site.front.clients
     site.run(1.0)
     assert sum(len(node.seen) for node in site.nodes.values()) == before
     site.balanced()
@@ -374,7 +374,7 @@
     one, two = Caller(first), Caller(second)
     for _ in range(20):
         assert value(one.ask(first.write("k", "01"))) == b"\x01"
-    assert second.machine.balancer.usual_latency["pay"] == 0.25 and not second.machine.open
+    assert second.machine.balancer.usual_latency["pay"] == 0.25 and not second.machine.pending
     assert value(two.ask(second.write("k", "02", kind="pay"))) == b"\x02"
     assert (
         code(two.ask(second.write("k", "02"))) == "22023"
@@ -396,7 +396,7 @@
 
 def draining(site: Site) -> bool:
     """Whether the router knows that r1 drains."""
-    return site.machine.nodes["r1"].state is State.DRAINING
+    return site.machine.members["r1"].state is State.DRAINING
 
 
 def test_where_lists_are_pushed_the_watch_is_open_from_the_start_and_its_changes_hold() -> None:
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -177,11 +177,11 @@
     for caller, key in ((leaving, "leaving"), (staying, "staying")):
         caller.say(frames.query(site.write(key, "01").encode()), 0.0)
     site.run(0.05)
-    assert len(site.machine.open) == 2 and not site.machine.flying
+    assert len(site.machine.pending) == 2 and not site.machine.in_flight
     before = statements(site)
     leave(leaving)
     site.run(0.05)
-    assert len(site.machine.open) == 1
+    assert len(site.machine.pending) == 1
     new_primary = site.nodes["n"] = PgNode(site.world, "10.0.0.9:6432", primary=True).start()
     site.catalogue.list("n", new_primary.address, writes=True)
     site.run(0.5)
@@ -207,7 +207,7 @@
     for node in site.nodes.values():
         node.answers.append(lambda node, statement: frames.error("XX000", "broken") + frames.READY)
     caller.say(frames.query(site.read("any", "k").encode()), 0.05)
-    assert statements(site) == 1 and len(site.machine.flying) == 1
+    assert statements(site) == 1 and len(site.machine.in_flight) == 1
     leave(caller)
     site.run(1.0)
     assert statements(site) == 1
@@ -239,8 +239,8 @@
     all_send()
     site.run(0.02)
     sent = statements(site)
-    assert 0 < sent - before < 40 and len(site.machine.open) == len(callers)
-    assert len(site.machine.nodes["p"].links) > 40
+    assert 0 < sent - before < 40 and len(site.machine.pending) == len(callers)
+    assert len(site.machine.members["p"].links) > 40
     for caller in callers:
         caller.handle.close()
     site.run(0.3)
