--- a/banklift/pg/frames.py
+++ b/banklift/pg/frames.py
@@ -183,7 +183,7 @@
         self.pos = 0  # where the whole messages in the buffer end
 
     @property
-    def clean(self) -> bool:
+    def is_at_frame_boundary(self) -> bool:
         """Whether no bytes of an incomplete or unreadable answer are left over."""
         return not self.buffer and not self.fault
 
--- a/banklift/pg/front.py
+++ b/banklift/pg/front.py
@@ -41,7 +41,7 @@
 from banklift.proxy import events as ev
 from banklift.proxy.machine import Machine
 from banklift.proxy.plan import Limits
-from banklift.proxy.wire import Ask, Failed, Final, Refused, Served
+from banklift.proxy.wire import ClientRequest, Failed, Final, Refused, Served
 
 READ_TIMEOUT_S = 2.0  # time for a startup, for the first query and for the rest of a started message
 # Share of the allowed clients from which on `BUSY_IDLE_TIMEOUT_S` replaces the usual idle timeout.
@@ -177,7 +177,7 @@
         if client is not None:
             self._abandon_commands(client)
 
-    def full(self, client_id: int, is_full: bool) -> None:
+    def set_output_full(self, client_id: int, is_full: bool) -> None:
         """The buffer of answers to a client became full, or free again: no new command is begun in between."""
         client = self.clients.get(client_id)
         if client is not None:
@@ -187,9 +187,9 @@
             else:
                 self._flush(client)
 
-    def done(self, ask: Ask, final: Final) -> None:
+    def done(self, request: ClientRequest, final: Final) -> None:
         """A request ended. Its answer is sent once all earlier commands of its client are answered."""
-        found = self.pending.pop(ask.ids[0], None) if ask.ids else None
+        found = self.pending.pop(request.ids[0], None) if request.ids else None
         if found is None:
             return
         client, command = found
@@ -412,14 +412,14 @@
         self.idle_clients.pop(client.id, None)
         self.pending_ids.add(statement.id)
         arrived = core.now if core.input_sent_at is None else core.input_sent_at
-        since = None if statement.after_ms is None else core.now - statement.after_ms / 1000
+        seconds_since_write = None if statement.after_ms is None else core.now - statement.after_ms / 1000
         # Without client tokens, the statements of one key form a session.
         session = (
             None
             if self.client_tokens or request_class.need not in (Need.SESSION, Need.WRITE)
             else int.from_bytes(statement.key)
         )
-        ask = Ask(
+        request = ClientRequest(
             client.id,
             request_class,
             statement.group,
@@ -427,15 +427,15 @@
             tenant=statement.tenant,
             arrived=arrived,
             deadline=arrived + statement.client_timeout_ms / 1000 - self.limits.margin,
-            since=since,
+            seconds_since_write=seconds_since_write,
             session=session,
-            again=statement.is_retry,
+            is_retry=statement.is_retry,
             label=statement.id,
         )
         # `submit` returns the id, but may call `done` before that: the next id is needed in advance.
         command.request_id = core.last_request_id + 1
         self.pending[command.request_id] = client, command
-        submitted_id = core.submit(ask)
+        submitted_id = core.submit(request)
         assert submitted_id == command.request_id
 
     def _validated_class(self, statement: Statement) -> io.RequestClass:
--- a/banklift/pg/wire.py
+++ b/banklift/pg/wire.py
@@ -34,7 +34,15 @@
 from banklift.pg.frames import FrameError, MemberReader
 from banklift.pg.statement import VALUE_LIMIT, Statement
 from banklift.proxy.machine import Attempt, Machine, MemberRecord
-from banklift.proxy.wire import Ask, BrokenFrame, Judged, Question, Result, Served, Told
+from banklift.proxy.wire import (
+    AttemptResult,
+    BrokenFrame,
+    ClientRequest,
+    MemberInfo,
+    Result,
+    Served,
+    StatusQuery,
+)
 
 ANSWER_LIMIT = VALUE_LIMIT + 16 * 1024  # bytes of one answer with all its messages
 USAGE = frames.query(b"SHOW usage")  # the probe
@@ -44,7 +52,8 @@
 # A member sends its small answer in one piece, so an answer that is still incomplete after this time is malformed.
 ANSWER_COMPLETION_TIMEOUT_S = 0.15
 MISS_SQLSTATES, FULL_SQLSTATE, NOT_PRIMARY_SQLSTATE = ("25006", "72000"), "53300", "25006"
-MALFORMED = Result(Status.ERROR, closes=True)  # an answer of the wrong shape; its link carries nothing more
+# an answer of the wrong shape; its link carries nothing more
+MALFORMED = Result(Status.ERROR, link_unusable=True)
 
 
 class AnswerReader:
@@ -56,9 +65,9 @@
         self._reader = MemberReader(ANSWER_LIMIT)
 
     @property
-    def clean(self) -> bool:
+    def is_at_frame_boundary(self) -> bool:
         """Whether no bytes of an incomplete or unreadable answer are left over."""
-        return self._reader.clean
+        return self._reader.is_at_frame_boundary
 
     def feed(self, data: bytes) -> list[bytes]:
         """The answers that `data` completes. Errors: `BrokenFrame` if the stream can't be read any further."""
@@ -79,15 +88,15 @@
         """A reader for one link's answers."""
         return AnswerReader()
 
-    def greeting(self, flavour: int) -> tuple[bytes, int]:
+    def greeting(self, link_variant: int) -> tuple[bytes, int]:
         """The startup message, which one frame answers."""
         return frames.startup(self.user, self.database), 1
 
-    def greeted(self, frame: bytes) -> bool:
+    def accepts_greeting(self, frame: bytes) -> bool:
         """Whether the answer to the startup begins with an authentication message and ends with ReadyForQuery."""
         return frame[:1] == b"R" and frame[-6:-1] == frames.READY[:-1]
 
-    def aside(self, frame: bytes) -> bool:
+    def is_unsolicited(self, frame: bytes) -> bool:
         """Always false: every frame answers a query."""
         return False
 
@@ -96,22 +105,22 @@
         return USAGE
 
     @property
-    def probes_apart(self) -> bool:
+    def has_probe_links(self) -> bool:
         """False: members allow few connections, and a further one per router for probes would be half of them."""
         return False
 
     @property
-    def probes_in_line(self) -> bool:
+    def pipelines_probes(self) -> bool:
         """False: a link takes the next probe only after it has answered the last one."""
         return False
 
     @property
-    def rest(self) -> float:
+    def settle_time(self) -> float:
         """Seconds for which a link stays unused after an answer."""
         return LINK_REST_S
 
     @property
-    def whole_within(self) -> float:
+    def answer_completion_limit(self) -> float:
         """Seconds from an answer's first byte to its last; a link that takes longer is lost."""
         return ANSWER_COMPLETION_TIMEOUT_S
 
@@ -127,23 +136,23 @@
     statement: Statement
 
     @property
-    def flavour(self) -> int:
+    def link_variant(self) -> int:
         """Always 0: any link carries any statement."""
         return 0
 
-    def payload(self, question: Question, left: float = 0.0) -> bytes:
+    def payload(self, status_query: StatusQuery, left: float = 0.0) -> bytes:
         """The query to send. `left`: seconds for which the router will wait; they replace the client's `d`."""
         return frames.query(self.statement.text(max(1, int(left * 1000))))
 
-    def frames(self, question: Question) -> int:
+    def frames(self, status_query: StatusQuery) -> int:
         """Always 1: a whole answer is one frame."""
         return 1
 
-    def read(self, frames: list[bytes], question: Question) -> Result | None:
+    def interpret(self, frames: list[bytes], status_query: StatusQuery) -> Result | None:
         """The meaning of the answer."""
         return read_answer(frames[0])
 
-    def cut(self, frames: list[bytes], question: Question) -> Result | None:
+    def result_of_broken_link(self, frames: list[bytes], status_query: StatusQuery) -> Result | None:
         """Always None: an incomplete answer is never used."""
         return None
 
@@ -191,13 +200,13 @@
             error_body = frame[start + 5 : end]
         elif message_type in (73, 75, 82):  # I, K, R: never part of a statement's answer
             return MALFORMED
-    state = Told(is_primary, position, report)
+    state = MemberInfo(is_primary, position, report)
     if error_body is not None:
         try:
             fields = frames.error_fields(error_body)
         except FrameError:
             return MALFORMED
-        code, closes = fields.get("C", ""), fields.get("V") == "FATAL" or description is not None
+        code, link_unusable = fields.get("C", ""), fields.get("V") == "FATAL" or description is not None
         status = Status.ERROR
         if description is None:
             status = (
@@ -208,15 +217,15 @@
                 else Status.ERROR
             )
             if code == NOT_PRIMARY_SQLSTATE and is_primary is None:
-                state = Told(False, position, report)
-        return Result(status, told=state, closes=closes)
+                state = MemberInfo(False, position, report)
+        return Result(status, member_info=state, link_unusable=link_unusable)
     if not completed or description is None or row is None:
         return MALFORMED
     try:
         frames.single_value(description, row)
     except FrameError:
         return MALFORMED
-    return Result(Status.OK, frame[answer_start:answer_end], told=state)
+    return Result(Status.OK, frame[answer_start:answer_end], member_info=state)
 
 
 def _position_seconds(value: str) -> float | None:
@@ -270,26 +279,28 @@
     def __init__(self, core: Machine) -> None:
         self.core = core
 
-    def lore(self) -> object:
+    def new_member_state(self) -> object:
         """None: nothing is kept per member."""
         return None
 
-    def since_write(self, ask: Ask, now: float) -> float | None:
+    def since_write(self, request: ClientRequest, now: float) -> float | None:
         """Seconds since the commit that a session's read must see, from its client's own position."""
-        return ask.since
+        return request.seconds_since_write
 
-    def question(self, attempt: Attempt, fresh: bool) -> Question:
+    def choose_query(self, attempt: Attempt, fresh: bool) -> StatusQuery:
         """Always NONE: members report their state without being asked."""
-        return Question.NONE
+        return StatusQuery.NONE
 
-    def judge(self, attempt: Attempt, result: Result) -> Judged:
+    def interpret(self, attempt: Attempt, result: Result) -> AttemptResult:
         """The outcome of an attempt; only an answer with status OK is served."""
-        state = result.told or Told()
+        state = result.member_info or MemberInfo()
         position = state.position
         if position is not None and position > self.core.now + MAX_POSITION_AHEAD_S:
             position = None
-        state = Told(state.primary, position, self._without_future_position(state.report))
-        return Judged(result.status, state, Served(result.answer) if result.status is Status.OK else None)
+        state = MemberInfo(state.primary, position, self._without_future_position(state.report))
+        return AttemptResult(
+            result.status, state, Served(result.answer) if result.status is Status.OK else None
+        )
 
     def _without_future_position(self, report: io.Report | None) -> io.Report | None:
         """The report, without its position if that is ahead of the clock."""
@@ -301,19 +312,19 @@
             return report
         return io.Report(None, report.primary, report.in_flight, report.queued, None)
 
-    def cut(self, attempt: Attempt, result: Result) -> Served:
-        """Never called, as `Query.cut` gives no result. Errors: `AssertionError`."""
+    def interpret_broken_link(self, attempt: Attempt, result: Result) -> Served:
+        """Never called, as `Query.result_of_broken_link` gives no result. Errors: `AssertionError`."""
         raise AssertionError("nothing is served that was cut")
 
-    def early(self, attempt: Attempt) -> None:
+    def first_frame(self, attempt: Attempt) -> None:
         """Nothing to do: an answer is one frame."""
         return
 
-    def probing(self, member: MemberRecord) -> None:
+    def before_probe(self, member: MemberRecord) -> None:
         """Nothing to do before a probe."""
         return
 
-    def probed(self, member: MemberRecord, asked: float, frame: bytes) -> None:
+    def probe_answered(self, member: MemberRecord, asked: float, frame: bytes) -> None:
         """A probe sent at `asked` (seconds) was answered: report its figures, or a failed probe if there are none."""
         # An ErrorResponse (E) shows that the member is alive; it refuses probes that come too often.
         if any(message_type == 69 for message_type, _, _ in frames.split_messages(frame)):
--- a/banklift/proxy/machine.py
+++ b/banklift/proxy/machine.py
@@ -36,25 +36,25 @@
 from banklift.proxy.plan import Limits
 from banklift.proxy.timers import Timer, Timers
 from banklift.proxy.wire import (
-    Ask,
     BrokenFrame,
+    ClientRequest,
     Failed,
     Final,
     Front,
+    MemberInfo,
     Proofs,
-    Question,
     Reader,
     Refused,
     Served,
-    Told,
+    StatusQuery,
     Wire,
 )
 
-PROBE_FLAVOUR = -1  # flavour of links that carry only probes
+PROBE_LINK_VARIANT = -1  # variant of links that carry only probes
 # seconds that a link may take beyond the connect timeout: TCP resends a lost SYN after one second
 LATE_CONNECT_GRACE = 1.75
 MAX_UNSERVED_LINES = 20  # log lines per second about unserved requests: an overload must not flood the log
-NO_MEMBER_INFO = Told()
+NO_MEMBER_INFO = MemberInfo()
 
 
 @dataclass(slots=True, eq=False)
@@ -69,10 +69,11 @@
     balancer_name: str  # the name under which the balancer knows it; a new one whenever its data is new
     generation: int = 0  # number at the end of `balancer_name` that keeps it unique
     links: dict[int, Link] = field(default_factory=dict)
-    idle_links: dict[int, list[Link]] = field(default_factory=dict)  # by flavour, the last used at the end
-    # for a link, by flavour
+    # by link variant, the last used at the end
+    idle_links: dict[int, list[Link]] = field(default_factory=dict)
+    # for a link, by link variant
     waiting_attempts: dict[int, OrderedDict[Attempt, None]] = field(default_factory=dict)
-    waiting_count: int = 0  # attempts in `waiting_attempts`, of all flavours
+    waiting_count: int = 0  # attempts in `waiting_attempts`, of all link variants
     connecting: int = 0  # links that are not yet ready for requests
     probe_link: Link | None = None  # the link that carries its probes now
     pending_probes: deque[float] = field(default_factory=deque)  # when each unanswered probe was asked for
@@ -85,7 +86,7 @@
 
     id: int
     member: MemberRecord
-    flavour: int
+    link_variant: int
     reader: Reader
     up: bool = False  # the TCP connection is established
     greeting_frames: int = 0  # answers to the greeting that are still missing
@@ -106,7 +107,7 @@
     expires_at: float  # when it is given up
     written_at: float = math.inf  # when its bytes were written
     link: Link | None = None
-    status_query: Question = Question.NONE  # the status query sent with it
+    status_query: StatusQuery = StatusQuery.NONE  # the status query sent with it
     frames: list[bytes] = field(default_factory=list)  # received so far
     answer_started: bool = False  # a part of its answer has been received
     ended: bool = False
@@ -119,7 +120,7 @@
     """A request that has no final answer yet."""
 
     id: int
-    request: Ask
+    request: ClientRequest
     arrived: float
     deadline: float
     attempts: list[Attempt] = field(default_factory=list)
@@ -203,9 +204,9 @@
             case ev.ClientLost(client):
                 self.front.lost(client)
             case ev.ClientFull(client):
-                self.front.full(client, True)
+                self.front.set_output_full(client, True)
             case ev.ClientFree(client):
-                self.front.full(client, False)
+                self.front.set_output_full(client, False)
             case ev.LinkUp(link):
                 if link in self.links:
                     self._link_up(self.links[link])
@@ -255,37 +256,39 @@
 
     # ---- requests, for fronts
 
-    def submit(self, ask: Ask) -> int:
+    def submit(self, request: ClientRequest) -> int:
         """Accept a request from a front and return its id.
 
-        `front.done` is called once for it, possibly before this returns. The id is also added to `ask.ids` first.
+        `front.done` is called once for it, possibly before this returns. The id is also added to `request.ids` first.
         """
         self.last_request_id += 1
-        request_class, now = ask.kind, self.now
+        request_class, now = request.request_class, self.now
         if now >= self.accept_until:  # the policy's lease has expired; nothing was sent
-            ask.ids.append(self.last_request_id)
-            self.front.done(ask, Refused(self.refusal_retry_after))
+            request.ids.append(self.last_request_id)
+            self.front.done(request, Refused(self.refusal_retry_after))
             return self.last_request_id
-        retry_after = self.queues.enter(ask.group, request_class.name, now)
+        retry_after = self.queues.enter(request.group, request_class.name, now)
         if retry_after is not None:  # nothing was sent
-            ask.ids.append(self.last_request_id)
-            self.front.done(ask, Refused(retry_after))
+            request.ids.append(self.last_request_id)
+            self.front.done(request, Refused(retry_after))
             return self.last_request_id
         deadline = (
-            ask.arrived + self.answer_time_limit(request_class) if ask.deadline is None else ask.deadline
+            request.arrived + self.answer_time_limit(request_class)
+            if request.deadline is None
+            else request.deadline
         )
-        pending = PendingRequest(self.last_request_id, ask, now, min(deadline, self.drain_deadline))
+        pending = PendingRequest(self.last_request_id, request, now, min(deadline, self.drain_deadline))
         self.pending[pending.id] = pending
-        ask.ids.append(pending.id)
+        request.ids.append(pending.id)
         self._notify_balancer(
             io.Request(
                 pending.id,
                 request_class.name,
-                ask.group,
+                request.group,
                 pending.deadline,
-                ask.tenant,
-                ask.session,
-                self.proofs.since_write(ask, now),
+                request.tenant,
+                request.session,
+                self.proofs.since_write(request, now),
             )
         )
         return pending.id
@@ -301,7 +304,7 @@
         """Drop a request whose client has disconnected; `front.done` is not called for it any more."""
         if (pending := self.pending.pop(request, None)) is not None:
             pending.has_final_answer = pending.abandoned = True
-            self.queues.leave(pending.request.group, pending.request.kind.name, self.now)
+            self.queues.leave(pending.request.group, pending.request.request_class.name, self.now)
             self._notify_balancer(io.Abandoned(request))
             for attempt in list(pending.attempts):  # unsent attempts end even if the balancer cancels none
                 if not attempt.ended and attempt.link is None:
@@ -329,7 +332,7 @@
         pending = self.pending.get(request)
         if pending is None:
             return False
-        request_class = pending.request.kind
+        request_class = pending.request.request_class
         first_sent = min(
             (attempt.decided_at for attempt in pending.attempts if attempt.link is not None), default=self.now
         )
@@ -381,7 +384,7 @@
                 self._cancel_attempt(request, number)
             case io.Probe(member):
                 if (record := self.members_by_balancer_name.get(member)) is not None:
-                    self.proofs.probing(record)
+                    self.proofs.before_probe(record)
                     self.probe(record)
             case io.Log(text):
                 self.log("module", text=text)
@@ -415,12 +418,12 @@
             self.log(
                 answer,
                 id=pending.request.label.decode("latin-1"),
-                kind=pending.request.kind.name,
+                kind=pending.request.request_class.name,
                 group=pending.request.group,
                 reason=reason,
                 after_ms=round(1000 * (self.now - pending.arrived)),
                 of_ms=round(1000 * (pending.deadline - pending.arrived)),
-                again=pending.request.again,
+                again=pending.request.is_retry,
                 attempts=attempts,
             )
 
@@ -429,7 +432,7 @@
         pending = self.pending.pop(request, None)
         if pending is not None:
             pending.has_final_answer = True
-            self.queues.leave(pending.request.group, pending.request.kind.name, self.now)
+            self.queues.leave(pending.request.group, pending.request.request_class.name, self.now)
             self.front.done(pending.request, final)
 
     # ---- attempts
@@ -447,8 +450,8 @@
         attempt = Attempt(pending, number, record, member, self.now, expires_at)
         pending.attempts.append(attempt)
         self.in_flight[request, number] = attempt
-        flavour = pending.request.exchange.flavour
-        idle = record.idle_links.get(flavour)
+        link_variant = pending.request.exchange.link_variant
+        idle = record.idle_links.get(link_variant)
         link = self._take_rested(idle) if idle else None
         if not idle and record.waiting_count >= self.limits.waiting:  # the balancer may choose another member
             self._end_attempt(attempt, Status.MOOT)
@@ -457,20 +460,22 @@
         if link is not None:
             self._write_attempt(link, attempt)
             return
-        record.waiting_attempts.setdefault(flavour, OrderedDict())[attempt] = None
+        record.waiting_attempts.setdefault(link_variant, OrderedDict())[attempt] = None
         self._count_waiting(record, 1)
         connect_expires_at = min(expires_at, self.now + self.limits.connect)
         attempt.timers.append(
             self.call_at(connect_expires_at, lambda: self._connect_timeout(request, number))
         )
         # each gets a link as soon as these have rested
-        if idle and len(idle) >= len(record.waiting_attempts[flavour]):
-            self.call_at(idle[-1].idle_since + self.wire.rest, lambda: self._serve_rested(record, flavour))
+        if idle and len(idle) >= len(record.waiting_attempts[link_variant]):
+            self.call_at(
+                idle[-1].idle_since + self.wire.settle_time, lambda: self._serve_rested(record, link_variant)
+            )
         elif len(record.links) < self.limits.links:
             if self._make_room():
-                self._open_link(record, flavour)
+                self._open_link(record, link_variant)
         elif (other_idle := next((links for links in record.idle_links.values() if links), None)) is not None:
-            self._close_link(other_idle[-1])  # frees a place for a link of this flavour
+            self._close_link(other_idle[-1])  # frees a place for a link of this variant
 
     def _make_room(self) -> bool:
         """Return whether one more link may be opened; at the limit, close the longest idle link of any member."""
@@ -481,13 +486,13 @@
         self._close_link(next(iter(self.idle_links.values())))
         return len(self.links) < self.limits.all_links
 
-    def _take_waiting(self, member: MemberRecord, flavour: int) -> Attempt | None:
-        """Take the next attempt that waits for a link of this flavour off the queue.
+    def _take_waiting(self, member: MemberRecord, link_variant: int) -> Attempt | None:
+        """Take the next attempt that waits for a link of this variant off the queue.
 
         Attempts that the balancer would no longer send end unsent, for example because the proof of the member's
         position is too old by now or the request's idempotency window has closed.
         """
-        queue = member.waiting_attempts.get(flavour)
+        queue = member.waiting_attempts.get(link_variant)
         while queue:
             attempt = queue.popitem(last=False)[0]
             self._count_waiting(member, -1)
@@ -508,7 +513,7 @@
         """Send an attempt on a link, with the status query that it needs."""
         fresh, link.unused = link.unused, False
         link.attempt, attempt.link, attempt.written_at = attempt, link, self.now
-        attempt.status_query = self.proofs.question(attempt, fresh)
+        attempt.status_query = self.proofs.choose_query(attempt, fresh)
         payload = attempt.pending.request.exchange.payload(
             attempt.status_query, attempt.expires_at - self.now
         )
@@ -535,13 +540,13 @@
         self,
         attempt: Attempt,
         status: Status,
-        told: Told = NO_MEMBER_INFO,
+        member_info: MemberInfo = NO_MEMBER_INFO,
         served: Served | None = None,
         rejected: bool = False,
     ) -> None:
         """End an attempt and tell the balancer its outcome; close its link after a timeout or a cancellation.
 
-        `told` is what was learnt about the member, `served` the request's answer, if the attempt brought one;
+        `member_info` is what was learnt about the member, `served` the request's answer, if the attempt brought one;
         `rejected` says that the member stated that nothing ran.
         """
         attempt.ended, attempt.status = True, status
@@ -552,7 +557,7 @@
         for timer in attempt.timers:
             self.timers.cancel(timer)
         if link is None:
-            queue = member.waiting_attempts.get(pending.request.exchange.flavour)
+            queue = member.waiting_attempts.get(pending.request.exchange.link_variant)
             if queue is not None and attempt in queue:
                 del queue[attempt]
                 self._count_waiting(member, -1)
@@ -571,9 +576,9 @@
             status,
             finished,
             self.now - attempt.decided_at,
-            told.primary,
-            told.position,
-            told.report,
+            member_info.primary,
+            member_info.position,
+            member_info.report,
         )
         # Delayed for an abandoned request: clients may disconnect together, and the freed capacity must not go to a
         # request whose client is reported gone only later in the same moment.
@@ -590,13 +595,17 @@
         `last` says that no bytes follow the newest frame, so the link can be used again.
         """
         exchange = attempt.pending.request.exchange
-        result = exchange.read(attempt.frames, attempt.status_query)
+        result = exchange.interpret(attempt.frames, attempt.status_query)
         if result is None:
             return
-        judged = self.proofs.judge(attempt, result)
-        complete = last and not result.closes and len(attempt.frames) >= exchange.frames(attempt.status_query)
-        served = judged.served if not attempt.pending.has_final_answer else None
-        self._end_attempt(attempt, judged.status, judged.told, served, result.status in io.NEVER_RAN)
+        attempt_result = self.proofs.interpret(attempt, result)
+        complete = (
+            last and not result.link_unusable and len(attempt.frames) >= exchange.frames(attempt.status_query)
+        )
+        served = attempt_result.served if not attempt.pending.has_final_answer else None
+        self._end_attempt(
+            attempt, attempt_result.status, attempt_result.member_info, served, result.status in io.NEVER_RAN
+        )
         if link.id in self.links:
             if complete:
                 self._link_free(link)
@@ -609,17 +618,17 @@
         """Ask a member for its role, position and load, on its probe link or an idle link."""
         link, asked = member.probe_link, self.now
         if link is None:
-            apart, idle = self.wire.probes_apart, member.idle_links.get(0)
+            apart, idle = self.wire.has_probe_links, member.idle_links.get(0)
             link = self._take_rested(idle) if idle and not apart else None
             if link is None and not apart and not self._make_room():
                 self.probe_failed(member, asked)
                 return
-            link = member.probe_link = link or self._open_link(member, PROBE_FLAVOUR if apart else 0)
+            link = member.probe_link = link or self._open_link(member, PROBE_LINK_VARIANT if apart else 0)
         member.pending_probes.append(asked)
         if (
             link.up
             and not link.greeting_frames
-            and (self.wire.probes_in_line or len(member.pending_probes) == 1)
+            and (self.wire.pipelines_probes or len(member.pending_probes) == 1)
         ):
             self.actions.append(ev.ToLink(link.id, self.wire.probe()))
         self.call_at(asked + self.limits.probe, lambda: self._probe_expired(member, link, asked))
@@ -647,12 +656,12 @@
             return
         asked = member.pending_probes.popleft()
         link.idle_since = self.now
-        if member.pending_probes and not self.wire.probes_in_line:
+        if member.pending_probes and not self.wire.pipelines_probes:
             self.actions.append(ev.ToLink(link.id, self.wire.probe()))
-        elif not member.pending_probes and link.flavour != PROBE_FLAVOUR:
+        elif not member.pending_probes and link.link_variant != PROBE_LINK_VARIANT:
             member.probe_link, link.unused = None, False
             self._link_free(link)
-        self.proofs.probed(member, asked, frame)
+        self.proofs.probe_answered(member, asked, frame)
 
     def probe_failed(self, member: MemberRecord, asked: float) -> None:
         """Tell the balancer that a probe, asked for at `asked`, got no usable answer."""
@@ -664,12 +673,12 @@
 
     # ---- links
 
-    def _open_link(self, member: MemberRecord, flavour: int) -> Link:
+    def _open_link(self, member: MemberRecord, link_variant: int) -> Link:
         """Open a link to a member."""
         self.last_link_id += 1
-        link = Link(self.last_link_id, member, flavour, self.wire.reader())
+        link = Link(self.last_link_id, member, link_variant, self.wire.reader())
         self.links[link.id] = link
-        if flavour != PROBE_FLAVOUR:
+        if link_variant != PROBE_LINK_VARIANT:
             member.links[link.id] = link
             member.connecting += 1
         self.actions.append(ev.OpenLink(link.id, member.address))
@@ -692,7 +701,7 @@
     def _link_up(self, link: Link) -> None:
         """Handle an established connection: send the greeting, if the protocol has one."""
         link.up = True
-        greeting, link.greeting_frames = self.wire.greeting(link.flavour)
+        greeting, link.greeting_frames = self.wire.greeting(link.link_variant)
         if greeting:
             self.actions.append(ev.ToLink(link.id, greeting))
         if not link.greeting_frames:
@@ -700,51 +709,56 @@
 
     def _greeting_done(self, link: Link) -> None:
         """Put a link into service whose greeting is answered; on a probe link, send the probes that wait."""
-        if link.flavour != PROBE_FLAVOUR:
+        if link.link_variant != PROBE_LINK_VARIANT:
             link.member.connecting -= 1
         if link is not link.member.probe_link:
             self._link_free(link)
         elif asked := len(link.member.pending_probes):
             self.actions.append(
-                ev.ToLink(link.id, self.wire.probe() * (asked if self.wire.probes_in_line else 1))
+                ev.ToLink(link.id, self.wire.probe() * (asked if self.wire.pipelines_probes else 1))
             )
 
     def _link_free(self, link: Link) -> None:
-        """Give a free link to the next attempt that waits for its flavour, or make it idle."""
+        """Give a free link to the next attempt that waits for its variant, or make it idle."""
         member = link.member
-        if member.state is State.GONE or (link.flavour != PROBE_FLAVOUR and link.member.address == ""):
+        if member.state is State.GONE or (
+            link.link_variant != PROBE_LINK_VARIANT and link.member.address == ""
+        ):
             self._close_link(link)
             return
-        # surplus bytes behind an answer arrive within `Wire.rest`
-        must_rest = self.wire.rest and not link.unused
-        attempt = None if must_rest else self._take_waiting(member, link.flavour)
+        # surplus bytes behind an answer arrive within `Wire.settle_time`
+        must_rest = self.wire.settle_time and not link.unused
+        attempt = None if must_rest else self._take_waiting(member, link.link_variant)
         if attempt is not None:
             self._write_attempt(link, attempt)
             return
         link.idle_since = self.now
-        member.idle_links.setdefault(link.flavour, []).append(link)
+        member.idle_links.setdefault(link.link_variant, []).append(link)
         self.idle_links[link.id] = link
         if must_rest and member.waiting_count:
-            self.call_at(self.now + self.wire.rest, lambda: self._serve_rested(member, link.flavour))
+            self.call_at(
+                self.now + self.wire.settle_time, lambda: self._serve_rested(member, link.link_variant)
+            )
 
     def _take_rested(self, idle: list[Link]) -> Link | None:
-        """Take the most recently used link that may be used now: it is unused, or idle for `Wire.rest` or longer."""
+        """Take the most recently used link that may be used now: it is unused, or idle for `Wire.settle_time` or
+        longer."""
         for index in range(len(idle) - 1, -1, -1):
-            if idle[index].unused or idle[index].idle_since + self.wire.rest <= self.now:
+            if idle[index].unused or idle[index].idle_since + self.wire.settle_time <= self.now:
                 link = idle.pop(index)
                 del self.idle_links[link.id]
                 return link
         return None
 
-    def _serve_rested(self, member: MemberRecord, flavour: int) -> None:
+    def _serve_rested(self, member: MemberRecord, link_variant: int) -> None:
         """Give rested idle links to attempts that wait for them."""
         while (
-            member.waiting_attempts.get(flavour)
-            and (link := self._take_rested(member.idle_links.get(flavour, []))) is not None
+            member.waiting_attempts.get(link_variant)
+            and (link := self._take_rested(member.idle_links.get(link_variant, []))) is not None
         ):
-            attempt = self._take_waiting(member, flavour)
+            attempt = self._take_waiting(member, link_variant)
             if attempt is None:  # every waiting attempt ended unsent
-                member.idle_links[flavour].append(link)
+                member.idle_links[link_variant].append(link)
                 self.idle_links[link.id] = link
                 return
             self._write_attempt(link, attempt)
@@ -756,15 +770,15 @@
         except BrokenFrame as error:
             self._link_lost(link, f"protocol: {error}")
             return
-        clean = link.reader.clean
+        clean = link.reader.is_at_frame_boundary
         for count, frame in enumerate(frames, 1):
             if link.id not in self.links:
                 return
-            if self.wire.aside(frame):
+            if self.wire.is_unsolicited(frame):
                 continue
             if link.greeting_frames:
                 link.greeting_frames -= 1
-                if not self.wire.greeted(frame):
+                if not self.wire.accepts_greeting(frame):
                     self.log(
                         "link refused", member=link.member.name, answer=frame[:200].decode("latin-1").strip()
                     )
@@ -776,7 +790,7 @@
                 self._probe_answered(link, frame)
             elif link.attempt is not None:
                 link.attempt.frames.append(frame)
-                last = clean and (count == len(frames) or all(map(self.wire.aside, frames[count:])))
+                last = clean and (count == len(frames) or all(map(self.wire.is_unsolicited, frames[count:])))
                 self._answer_received(link, link.attempt, last)
             else:  # an answer without a request: nothing on this link can be trusted
                 self._close_link(link)
@@ -790,16 +804,18 @@
         attempt = link.attempt
         if attempt is None:
             return
-        if not clean and not attempt.answer_started and self.wire.whole_within < math.inf:
+        if not clean and not attempt.answer_started and self.wire.answer_completion_limit < math.inf:
             attempt.answer_started = True
             attempt.timers.append(
-                self.call_at(self.now + self.wire.whole_within, lambda: self._answer_stalled(link, attempt))
+                self.call_at(
+                    self.now + self.wire.answer_completion_limit, lambda: self._answer_stalled(link, attempt)
+                )
             )
         if len(attempt.frames) == 1 and attempt.status_query:
-            self.proofs.early(attempt)
+            self.proofs.first_frame(attempt)
 
     def _answer_stalled(self, link: Link, attempt: Attempt) -> None:
-        """Treat a link as lost whose answer has started and is not complete after `Wire.whole_within`."""
+        """Treat a link as lost whose answer has started and is not complete after `Wire.answer_completion_limit`."""
         if link.attempt is attempt and link.id in self.links:
             self._link_lost(link, "an answer was not completed in time")
 
@@ -819,16 +835,20 @@
         if probed:
             self._fail_probes(member)
         if attempt is not None:
-            result = attempt.pending.request.exchange.cut(attempt.frames, attempt.status_query)
+            result = attempt.pending.request.exchange.result_of_broken_link(
+                attempt.frames, attempt.status_query
+            )
             if result is None or attempt.pending.has_final_answer:
                 self._end_attempt(attempt, Status.RESET)
             else:
                 rejected = result.status in io.NEVER_RAN
-                served = self.proofs.cut(attempt, result) if result.status is Status.OK else None
+                served = (
+                    self.proofs.interpret_broken_link(attempt, result) if result.status is Status.OK else None
+                )
                 self._end_attempt(attempt, result.status, served=served, rejected=rejected)
-        elif not was_up and link.flavour != PROBE_FLAVOUR:
+        elif not was_up and link.link_variant != PROBE_LINK_VARIANT:
             self.log("connect failed", member=member.name, reason=reason)
-            waiting = self._take_waiting(member, link.flavour)
+            waiting = self._take_waiting(member, link.link_variant)
             if waiting is not None:
                 self._end_attempt(waiting, Status.CONNECT_FAILED)
         # other attempts that wait have a link that is connecting, or wait for a busy one
@@ -847,7 +867,7 @@
                 (next(iter(queue)) for queue in member.waiting_attempts.values() if queue),
                 key=lambda attempt: attempt.decided_at,
             )
-            self._open_link(member, first.pending.request.exchange.flavour)
+            self._open_link(member, first.pending.request.exchange.link_variant)
 
     def _close_link(self, link: Link) -> None:
         """Close a link, unless it is closed, and use its place for attempts that wait."""
@@ -869,13 +889,13 @@
         del self.links[link.id]
         if member.probe_link is link:
             member.probe_link = None
-        if link.flavour == PROBE_FLAVOUR:
+        if link.link_variant == PROBE_LINK_VARIANT:
             return
         member.links.pop(link.id, None)
         if not link.up or link.greeting_frames:
             member.connecting -= 1
         if self.idle_links.pop(link.id, None) is not None:
-            member.idle_links[link.flavour].remove(link)
+            member.idle_links[link.link_variant].remove(link)
 
     def _close_idle(self) -> None:
         """Close the links that were idle for `Limits.idle`, and schedule the next run."""
@@ -936,7 +956,7 @@
                     listed.state,
                     listed.started,
                     listed.name,
-                    protocol_state=self.proofs.lore(),
+                    protocol_state=self.proofs.new_member_state(),
                 )
                 generation = 0
                 # a predecessor under this name still has attempts
--- a/banklift/proxy/wire.py
+++ b/banklift/proxy/wire.py
@@ -32,7 +32,7 @@
         """
 
     @property
-    def clean(self) -> bool:
+    def is_at_frame_boundary(self) -> bool:
         """Whether no received bytes remain that could be the beginning of another answer."""
 
 
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class MemberInfo:
     """What an attempt showed about its member, for the balancer; None where it showed nothing."""
 
     primary: bool | None = None  # whether the member is a primary
@@ -55,14 +55,14 @@
 
     status: Status
     answer: bytes = b""  # for the client
-    replication_status: ReplicationStatus | None = None  # the answer to the status query
+    status_before: ReplicationStatus | None = None  # the answer to the status query
     # of a read with a second status query behind it: that query's answer
-    after: ReplicationStatus | None = None
-    told: Told | None = None  # in protocols whose answers carry the member's status unasked
-    closes: bool = False  # the link can't be used again
+    status_behind: ReplicationStatus | None = None
+    member_info: MemberInfo | None = None  # in protocols whose answers carry the member's status unasked
+    link_unusable: bool = False  # the link can't be used again
 
 
-class Question(IntEnum):
+class StatusQuery(IntEnum):
     """The status query that is sent to a member together with a request.
 
     A read has it in front, so the data it reads is at least as new as the position that the query proves. A write has
@@ -70,31 +70,31 @@
     """
 
     NONE = 0
-    STANDING = 1  # role and position
+    STATUS = 1  # role and position
     HISTORY = 2  # role, position and replication history
-    BOTH = (
-        3  # for reads: `STANDING` in front, and role and position behind, which bound how new the data can be
+    STATUS_BOTH_SIDES = (
+        3  # for reads: `STATUS` in front, and role and position behind, which bound how new the data can be
     )
-    HISTORY_BOTH = 4  # for reads: `HISTORY` in front, and role and position behind
+    HISTORY_BOTH_SIDES = 4  # for reads: `HISTORY` in front, and role and position behind
 
 
 class Exchange(Protocol):
     """One request in the form in which it is sent to a member."""
 
     @property
-    def flavour(self) -> int:
+    def link_variant(self) -> int:
         """The kind of link that can carry it, such as the protocol's version; 0 or above."""
 
-    def payload(self, question: Question, left: float = 0.0) -> bytes:
+    def payload(self, status_query: StatusQuery, left: float = 0.0) -> bytes:
         """The bytes to send, with the status query. `left`: seconds that the router will wait for the answer."""
 
-    def frames(self, question: Question) -> int:
+    def frames(self, status_query: StatusQuery) -> int:
         """How many frames answer it and the status query."""
 
-    def read(self, frames: list[bytes], question: Question) -> Result | None:
+    def interpret(self, frames: list[bytes], status_query: StatusQuery) -> Result | None:
         """The meaning of the frames received so far; None while more are needed."""
 
-    def cut(self, frames: list[bytes], question: Question) -> Result | None:
+    def result_of_broken_link(self, frames: list[bytes], status_query: StatusQuery) -> Result | None:
         """The result of an exchange whose link broke, if the frames already tell it; None if not."""
 
 
@@ -104,13 +104,13 @@
     def reader(self) -> Reader:
         """A reader for a new link."""
 
-    def greeting(self, flavour: int) -> tuple[bytes, int]:
-        """The bytes that a new link of this flavour sends first, and the number of frames that answer them."""
+    def greeting(self, link_variant: int) -> tuple[bytes, int]:
+        """The bytes that a new link of this variant sends first, and the number of frames that answer them."""
 
-    def greeted(self, frame: bytes) -> bool:
+    def accepts_greeting(self, frame: bytes) -> bool:
         """Whether a frame that answers the greeting accepts the link."""
 
-    def aside(self, frame: bytes) -> bool:
+    def is_unsolicited(self, frame: bytes) -> bool:
         """Whether a frame is an unsolicited message, which is skipped."""
 
     def probe(self) -> bytes:
@@ -120,22 +120,22 @@
         """
 
     @property
-    def probes_apart(self) -> bool:
+    def has_probe_links(self) -> bool:
         """Whether probes have a link of their own, which carries no requests."""
 
     @property
-    def probes_in_line(self) -> bool:
+    def pipelines_probes(self) -> bool:
         """Whether several probes may be sent on a link before the first is answered."""
 
     @property
-    def rest(self) -> float:
+    def settle_time(self) -> float:
         """Seconds after an answer in which a link carries no new request.
 
         Bytes that arrive in that time belong to no request, and the link is closed.
         """
 
     @property
-    def whole_within(self) -> float:
+    def answer_completion_limit(self) -> float:
         """Seconds from the first byte of an answer after which the link counts as lost if the answer is incomplete.
 
         Infinite if the protocol has no such limit.
@@ -151,28 +151,28 @@
     One object serves all members of a router.
     """
 
-    def lore(self) -> object:
+    def new_member_state(self) -> object:
         """The initial state for a new member, kept in `MemberRecord.protocol_state`."""
 
-    def since_write(self, ask: Ask, now: float) -> float | None:
+    def since_write(self, request: ClientRequest, now: float) -> float | None:
         """For a session's read: seconds since the last commit that it must see; None if there is no such commit."""
 
-    def question(self, attempt: Attempt, fresh: bool) -> Question:
+    def choose_query(self, attempt: Attempt, fresh: bool) -> StatusQuery:
         """Choose the status query for an attempt that is about to be written. `fresh`: nothing was sent on its link."""
 
-    def judge(self, attempt: Attempt, result: Result) -> Judged:
+    def interpret(self, attempt: Attempt, result: Result) -> AttemptResult:
         """Interpret the complete answer of an attempt."""
 
-    def cut(self, attempt: Attempt, result: Result) -> Served:
+    def interpret_broken_link(self, attempt: Attempt, result: Result) -> Served:
         """Interpret a successful answer that had arrived before its link broke."""
 
-    def early(self, attempt: Attempt) -> None:
+    def first_frame(self, attempt: Attempt) -> None:
         """Use the first frame of an attempt with a status query, before the rest of its answer has arrived."""
 
-    def probing(self, member: MemberRecord) -> None:
+    def before_probe(self, member: MemberRecord) -> None:
         """The balancer is about to probe a member; other members may be probed with it."""
 
-    def probed(self, member: MemberRecord, asked: float, frame: bytes) -> None:
+    def probe_answered(self, member: MemberRecord, asked: float, frame: bytes) -> None:
         """Handle the answer to a probe that was asked for at `asked`.
 
         Calls `Machine.report_probe` or `Machine.probe_failed` once, now or soon.
@@ -186,24 +186,24 @@
 
 
 @dataclass(slots=True)
-class Ask:
+class ClientRequest:
     """A request as a front submits it. The core calls `Front.done` once for it, unless the front abandons it."""
 
     client: int  # id of the client's connection
-    kind: RequestClass
+    request_class: RequestClass
     group: int
     exchange: Exchange
-    seen: SessionMark | None = None  # for a session's read: the writes and reads that it must reflect
-    current: bool = (
+    must_reflect: SessionMark | None = None  # for a session's read: the writes and reads that it must reflect
+    must_see_all: bool = (
         False  # for a session's read without known history: it must see all commits before its arrival
     )
     tenant: str | None = None
     arrived: float = 0.0  # when it arrived; the class's deadline counts from here
     deadline: float | None = None  # a time that replaces the class's deadline
     # for a session's read whose client states a position: seconds since the commit that it must see
-    since: float | None = None
+    seconds_since_write: float | None = None
     session: int | None = None
-    again: bool = False  # the client marks it as a retry
+    is_retry: bool = False  # the client marks it as a retry
     label: bytes = b""  # the client's id of the request, for the log
     ids: list[int] = field(default_factory=list)  # the request's id is added when it is accepted
 
@@ -217,11 +217,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
+class AttemptResult:
     """How an attempt with a complete answer ended. `served`: the answer that its client may get."""
 
     status: Status
-    told: Told
+    member_info: MemberInfo
     served: Served | None = None
 
 
@@ -229,11 +229,11 @@
 class Refused:
     """Final answer: refused, and safe to send again.
 
-    `touched`: a member received the request and did not say that nothing ran, so it may have run.
+    `may_have_run`: a member received the request and did not say that nothing ran, so it may have run.
     """
 
     retry_after: float  # seconds after which the client may try again
-    touched: bool = False
+    may_have_run: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -262,10 +262,10 @@
     def lost(self, client: int) -> None:
         """A client's connection is gone."""
 
-    def full(self, client: int, is_full: bool) -> None:
+    def set_output_full(self, client: int, is_full: bool) -> None:
         """A client does not read its answers, or reads them again; nothing new is started for it in between."""
 
-    def done(self, ask: Ask, final: Final) -> None:
+    def done(self, request: ClientRequest, final: Final) -> None:
         """A request has its final answer."""
 
     def adopt(self, plan: object) -> None:
--- a/banklift/resp/front.py
+++ b/banklift/resp/front.py
@@ -37,7 +37,7 @@
 from banklift.proxy import events as ev
 from banklift.proxy.machine import Machine
 from banklift.proxy.plan import Config
-from banklift.proxy.wire import Ask, Failed, Final, Refused, Served
+from banklift.proxy.wire import ClientRequest, Failed, Final, Refused, Served
 from banklift.resp.commands import COMMANDS, Command, Kind, lookup
 from banklift.resp.frames import CommandReader, Error, ProtocolError, Simple, command, encode
 from banklift.resp.proofs import RespProofs
@@ -54,12 +54,12 @@
 UNCERTAIN_ERROR = encode(Error("UNCERTAIN failed: it may have run"))
 
 
-def encode_refusal(retry_after: float, touched: bool) -> bytes:
+def encode_refusal(retry_after: float, may_have_run: bool) -> bytes:
     """Encodes the reply to a refused request that is safe to send again.
 
-    `retry_after`: seconds. `touched`: whether a member may have run it.
+    `retry_after`: seconds. `may_have_run`: whether a member may have run it.
     """
-    outcome = "it may have run and is safe to repeat" if touched else "nothing ran"
+    outcome = "it may have run and is safe to repeat" if may_have_run else "nothing ran"
     return encode(Error(f"TRYAGAIN refused: {outcome}; retry_after_ms={round(retry_after * 1000)}"))
 
 
@@ -207,7 +207,7 @@
                 self.places.pop(place.request, None)
                 self.core.abandon(place.request)
 
-    def full(self, client: int, is_full: bool) -> None:
+    def set_output_full(self, client: int, is_full: bool) -> None:
         """The client has stopped reading its replies, or reads them again: pauses or resumes its commands."""
         state = self.clients.get(client)
         if state is not None:
@@ -217,7 +217,7 @@
             else:
                 self._flush(state)
 
-    def done(self, request: Ask, final: Final) -> None:
+    def done(self, request: ClientRequest, final: Final) -> None:
         """The core has finished a request: stores the reply and starts what waited for it."""
         found = self.places.pop(request.ids[0], None) if request.ids else None
         if found is None:
@@ -228,12 +228,12 @@
                 place.answer = answer
                 if seen is not None:
                     self._merge_mark(self._session_marks(state), request.group, seen)
-            case Refused(retry_after, touched):
-                place.answer = encode_refusal(retry_after, touched)
+            case Refused(retry_after, may_have_run):
+                place.answer = encode_refusal(retry_after, may_have_run)
             case Failed():
                 place.answer = UNCERTAIN_ERROR
         if place.queue is not None:
-            place.queue.release(request.kind)
+            place.queue.release(request.request_class)
             self._start_waiting(state, request.group, place.queue)
         self._flush(state)
 
@@ -270,12 +270,12 @@
         if place.request is None:
             place.answer = untouched
             return
-        touched = self.core.may_have_run(place.request)
+        may_have_run = self.core.may_have_run(place.request)
         repeatable = self.core.safe_to_repeat(place.request)
         self.core.abandon(place.request)
         self.places.pop(place.request, None)
         place.answer = (
-            untouched if not touched else encode_refusal(0.0, True) if repeatable else UNCERTAIN_ERROR
+            untouched if not may_have_run else encode_refusal(0.0, True) if repeatable else UNCERTAIN_ERROR
         )
         if place.queue is not None and place.request_class is not None:
             place.queue.release(place.request_class)
@@ -478,15 +478,15 @@
             queue.active_writes += 1
         else:
             queue.active_reads += 1
-        request = Ask(
+        request = ClientRequest(
             state.id, request_class, group, waiting.exchange, tenant=state.user, arrived=waiting.arrived
         )
         if request_class.need is Need.SESSION:
             marks = self._session_marks(state)
-            request.seen = marks.get(group)
+            request.must_reflect = marks.get(group)
             may_have_written_elsewhere = self.config.sessions == "roaming" and not state.sent_token
             # without known marks, the read must see every commit before its arrival
-            request.current = may_have_written_elsewhere or (
+            request.must_see_all = may_have_written_elsewhere or (
                 self.marks_evicted and bool(state.name) and not marks
             )
         # `submit` may call `done` before it returns the id, so the entry is registered under the next id first
--- a/banklift/resp/proofs.py
+++ b/banklift/resp/proofs.py
@@ -24,7 +24,7 @@
 from banklift.decide.offsets import ProvenFacts, ReplicationHistory, ReplicationStatus, SessionMark
 from banklift.interface import Need, State, Status
 from banklift.proxy.machine import Attempt, Machine, MemberRecord
-from banklift.proxy.wire import Ask, Judged, Question, Result, Served, Told
+from banklift.proxy.wire import AttemptResult, ClientRequest, MemberInfo, Result, Served, StatusQuery
 from banklift.resp.replies import parse_replication_status
 
 SAMPLE_WAIT_SECONDS = 0.02  # a replica's report waits as long as this for a sample of the primary
@@ -54,50 +54,50 @@
         # reports that wait for a sample, by group: member, time asked and load
         self.delayed_reports: dict[int, list[tuple[MemberRecord, float, float]]] = {}
 
-    def lore(self) -> MemberKnowledge:
+    def new_member_state(self) -> MemberKnowledge:
         """The knowledge of a member that has not answered yet."""
         return MemberKnowledge()
 
-    def since_write(self, request: Ask, now: float) -> float | None:
+    def since_write(self, request: ClientRequest, now: float) -> float | None:
         """Seconds since the newest commit that a session read must see; None if it needs none or is of another class.
 
         A read of a session that may have written elsewhere must see every commit before its arrival.
         """
-        if request.kind.need is Need.SESSION:
-            if request.current:
+        if request.request_class.need is Need.SESSION:
+            if request.must_see_all:
                 return FLOOR_MARGIN_SECONDS
-            if request.seen is not None:
+            if request.must_reflect is not None:
                 return (
                     now
                     + FLOOR_MARGIN_SECONDS
-                    - self.tracks[request.group].required_position(request.seen, now)
+                    - self.tracks[request.group].required_position(request.must_reflect, now)
                 )
         return None
 
-    def question(self, attempt: Attempt, fresh: bool) -> Question:
+    def choose_query(self, attempt: Attempt, fresh: bool) -> StatusQuery:
         """What to ask the member together with this attempt. `fresh`: the attempt is the first on its link."""
-        need = attempt.pending.request.kind.need
+        need = attempt.pending.request.request_class.need
         knowledge = attempt.member.protocol_state
         if need is Need.WRITE and knowledge.unanswered_since is None:
             knowledge.unanswered_since = self.core.now
         if fresh or knowledge.doubt:
-            return Question.HISTORY_BOTH if need in MARKING_READS else Question.HISTORY
+            return StatusQuery.HISTORY_BOTH_SIDES if need in MARKING_READS else StatusQuery.HISTORY
         if need is Need.ANY:  # needs no proof
-            return Question.NONE
-        return Question.BOTH if need in MARKING_READS else Question.STANDING
+            return StatusQuery.NONE
+        return StatusQuery.STATUS_BOTH_SIDES if need in MARKING_READS else StatusQuery.STATUS
 
-    def judge(self, attempt: Attempt, result: Result) -> Judged:
+    def interpret(self, attempt: Attempt, result: Result) -> AttemptResult:
         """What a complete answer means for the attempt, the balancer and the client."""
         request = attempt.pending.request
         member = attempt.member
         now = self.core.now
         status = result.status
         fact = ProvenFacts()
-        writes = request.kind.need is Need.WRITE
+        writes = request.request_class.need is Need.WRITE
         if writes:
             member.protocol_state.unanswered_since = None
-        if result.replication_status is not None:
-            fact = self.learn(member, result.replication_status, attempt.written_at, None)
+        if result.status_before is not None:
+            fact = self.learn(member, result.status_before, attempt.written_at, None)
         if status is Status.MISS and writes and fact.primary is None:
             fact = ProvenFacts(primary=False)  # -READONLY means that the member is no primary
         served = None
@@ -108,32 +108,36 @@
                 seen = None
                 if writes:
                     seen = self.tracks[member.group].make_mark(member.name, fact.offset, now)
-                elif request.kind.need in MARKING_READS:
+                elif request.request_class.need in MARKING_READS:
                     # what the read showed is no newer than the status after it
-                    after = result.after and self.learn(member, result.after, attempt.written_at, None)
+                    after = result.status_behind and self.learn(
+                        member, result.status_behind, attempt.written_at, None
+                    )
                     seen = self.tracks[member.group].make_mark(
                         member.name, after.offset if after else None, now
                     )
                 served = Served(result.answer, seen)
-        load = result.replication_status.load if result.replication_status is not None else None
-        return Judged(
-            status, Told(fact.primary, None, io.Report(position=fact.position, in_flight=load)), served
+        load = result.status_before.load if result.status_before is not None else None
+        return AttemptResult(
+            status, MemberInfo(fact.primary, None, io.Report(position=fact.position, in_flight=load)), served
         )
 
-    def cut(self, attempt: Attempt, result: Result) -> Served:
+    def interpret_broken_link(self, attempt: Attempt, result: Result) -> Served:
         """The answer of a link that broke before the status came: its mark has a time and no offset."""
         return Served(result.answer, SessionMark(self.core.now))
 
     def proves(self, attempt: Attempt, fact: ProvenFacts) -> bool:
         """Whether the status that the member reported on the same link allows passing this read on."""
         request = attempt.pending.request
-        match request.kind.need:
+        match request.request_class.need:
             case Need.ANY:
                 return True
             case Need.BOUNDED:
-                floor = attempt.written_at - request.kind.bound
-            case Need.SESSION if not request.current:
-                return request.seen is None or self.tracks[request.group].covers(fact, request.seen)
+                floor = attempt.written_at - request.request_class.bound
+            case Need.SESSION if not request.must_see_all:
+                return request.must_reflect is None or self.tracks[request.group].covers(
+                    fact, request.must_reflect
+                )
             case _:
                 floor = attempt.pending.arrived
         return fact.position is not None and fact.position >= floor
@@ -151,7 +155,7 @@
             member.protocol_state.doubt = True
             # its role may have changed, so ask for its history
             if member.state is State.READY and not member.pending_probes:
-                self.probing(member)
+                self.before_probe(member)
                 self.core.probe(member)
         elif reported.replid is not None:
             member.protocol_state.doubt = False
@@ -159,11 +163,11 @@
             self.core.data_replaced(member)
         return fact
 
-    def early(self, attempt: Attempt) -> None:
+    def first_frame(self, attempt: Attempt) -> None:
         """Reports a change of role as soon as the status ahead of a read shows it, as the answer may take longer."""
         member = attempt.member
         reported = parse_replication_status(attempt.frames[0])
-        if reported is None or attempt.pending.request.kind.need is Need.WRITE:
+        if reported is None or attempt.pending.request.request_class.need is Need.WRITE:
             return
         was_primary = self.tracks[member.group].primary_member == member.name
         fact = self.learn(member, reported, attempt.written_at, None)
@@ -172,13 +176,13 @@
 
     # ---- probes
 
-    def probing(self, member: MemberRecord) -> None:
+    def before_probe(self, member: MemberRecord) -> None:
         """A member is about to be probed: probes its primary too, whose sample turns offsets into positions."""
         primary = self._primary_of(member)
         if primary is not None and primary is not member and not primary.pending_probes:
             self.core.probe(primary)
 
-    def probed(self, member: MemberRecord, asked: float, frame: bytes) -> None:
+    def probe_answered(self, member: MemberRecord, asked: float, frame: bytes) -> None:
         """A member has answered a probe: reports it now, or once the sample of the primary has come."""
         core = self.core
         reported = parse_replication_status(frame)
@@ -192,7 +196,8 @@
                 (
                     link.attempt.written_at
                     for link in member.links.values()
-                    if link.attempt is not None and link.attempt.pending.request.kind.need is Need.WRITE
+                    if link.attempt is not None
+                    and link.attempt.pending.request.request_class.need is Need.WRITE
                 ),
                 default=None,
             )
--- a/banklift/resp/wire.py
+++ b/banklift/resp/wire.py
@@ -21,7 +21,7 @@
 from banklift.decide.offsets import ReplicationStatus
 from banklift.interface import Status
 from banklift.proxy.machine import Machine
-from banklift.proxy.wire import BrokenFrame, Question, Result
+from banklift.proxy.wire import BrokenFrame, Result, StatusQuery
 from banklift.resp.frames import ProtocolError, Scanner, command
 from banklift.resp.proofs import RespProofs
 from banklift.resp.replies import parse_replication_status, status
@@ -51,14 +51,14 @@
             raise BrokenFrame(str(error)) from None
 
     @property
-    def clean(self) -> bool:
+    def is_at_frame_boundary(self) -> bool:
         """Whether no part of an answer is buffered. A part of a push frame doesn't count: pushes come at any time."""
         return not self._scanner.buffer or self._scanner.buffer[:1] == b">"
 
 
 @dataclass(frozen=True, slots=True)
 class RespWire:
-    """RESP as links to members speak it; the flavour of a link is its RESP version, 2 or 3.
+    """RESP as links to members speak it; the variant of a link is its RESP version, 2 or 3.
 
     `limit`: bytes of one answer. `name`: the router's name. `user` and `password`: what links log in with; without a
     password they don't log in.
@@ -73,9 +73,9 @@
         """A reader for the answers of one link."""
         return FrameReader(self.limit)
 
-    def greeting(self, flavour: int) -> tuple[bytes, int]:
+    def greeting(self, link_variant: int) -> tuple[bytes, int]:
         """What a new link sends first (HELLO for RESP3, AUTH if there is a password), and how many frames answer it."""
-        if flavour == 3:
+        if link_variant == 3:
             auth = ("AUTH", self.user or "default", self.password) if self.password is not None else ()
             return command("HELLO", 3, *auth), 1
         if self.password is not None:
@@ -83,11 +83,11 @@
             return command("AUTH", *user, self.password), 1
         return b"", 0
 
-    def greeted(self, frame: bytes) -> bool:
+    def accepts_greeting(self, frame: bytes) -> bool:
         """Whether the member accepted the greeting."""
         return frame[:1] != b"-"
 
-    def aside(self, frame: bytes) -> bool:
+    def is_unsolicited(self, frame: bytes) -> bool:
         """Whether a frame is a push, which answers no command."""
         return frame[:1] == b">"
 
@@ -96,22 +96,22 @@
         return INFO
 
     @property
-    def probes_apart(self) -> bool:
+    def has_probe_links(self) -> bool:
         """True: probes need a link that carries no requests."""
         return True
 
     @property
-    def probes_in_line(self) -> bool:
+    def pipelines_probes(self) -> bool:
         """True: a link takes another probe before it has answered the one before."""
         return True
 
     @property
-    def rest(self) -> float:
+    def settle_time(self) -> float:
         """Seconds that a link rests after an answer: none."""
         return 0.0
 
     @property
-    def whole_within(self) -> float:
+    def answer_completion_limit(self) -> float:
         """Seconds within which an answer that has begun must be complete: no bound."""
         return math.inf
 
@@ -122,15 +122,18 @@
 
 # the status command of an exchange: before a read, after a write
 STATUS_COMMANDS = {
-    Question.NONE: b"",
-    Question.STANDING: ROLE,
-    Question.HISTORY: INFO,
-    Question.BOTH: ROLE,
-    Question.HISTORY_BOTH: INFO,
+    StatusQuery.NONE: b"",
+    StatusQuery.STATUS: ROLE,
+    StatusQuery.HISTORY: INFO,
+    StatusQuery.STATUS_BOTH_SIDES: ROLE,
+    StatusQuery.HISTORY_BOTH_SIDES: INFO,
 }
 # the second status command of a read, after its command
 TRAILING_STATUS_COMMANDS = {
-    question: ROLE if question in (Question.BOTH, Question.HISTORY_BOTH) else b"" for question in Question
+    status_query: ROLE
+    if status_query in (StatusQuery.STATUS_BOTH_SIDES, StatusQuery.HISTORY_BOTH_SIDES)
+    else b""
+    for status_query in StatusQuery
 }
 
 
@@ -138,28 +141,28 @@
 class Single:
     """One command of a client.
 
-    `flavour`: its RESP version. `data`: the bytes of the command. `writes`: whether it writes.
+    `link_variant`: its RESP version. `data`: the bytes of the command. `writes`: whether it writes.
     """
 
-    flavour: int
+    link_variant: int
     data: bytes
     writes: bool
 
-    def payload(self, question: Question, left: float = 0.0) -> bytes:
-        """The bytes to send: the command and the status commands of this question. `left` is not used."""
+    def payload(self, status_query: StatusQuery, left: float = 0.0) -> bytes:
+        """The bytes to send: the command and the status commands of this query. `left` is not used."""
         return (
-            self.data + STATUS_COMMANDS[question]
+            self.data + STATUS_COMMANDS[status_query]
             if self.writes
-            else STATUS_COMMANDS[question] + self.data + TRAILING_STATUS_COMMANDS[question]
+            else STATUS_COMMANDS[status_query] + self.data + TRAILING_STATUS_COMMANDS[status_query]
         )
 
-    def frames(self, question: Question) -> int:
+    def frames(self, status_query: StatusQuery) -> int:
         """How many frames answer it."""
-        return 1 + bool(question) + bool(TRAILING_STATUS_COMMANDS[question])
+        return 1 + bool(status_query) + bool(TRAILING_STATUS_COMMANDS[status_query])
 
-    def read(self, frames: list[bytes], question: Question) -> Result | None:
+    def interpret(self, frames: list[bytes], status_query: StatusQuery) -> Result | None:
         """What the frames so far mean; None while more are needed."""
-        if not question:
+        if not status_query:
             return Result(status(frames[0]), frames[0])
         if len(frames) == 1:
             verdict = status(frames[0])
@@ -169,12 +172,12 @@
             return None
         if self.writes:
             return Result(status(frames[0]), frames[0], parse_replication_status(frames[1]))
-        if len(frames) < self.frames(question):
+        if len(frames) < self.frames(status_query):
             return None
-        after = parse_replication_status(frames[2]) if TRAILING_STATUS_COMMANDS[question] else None
+        after = parse_replication_status(frames[2]) if TRAILING_STATUS_COMMANDS[status_query] else None
         return Result(status(frames[1]), frames[1], parse_replication_status(frames[0]), after)
 
-    def cut(self, frames: list[bytes], question: Question) -> Result | None:
+    def result_of_broken_link(self, frames: list[bytes], status_query: StatusQuery) -> Result | None:
         """What the frames mean if the link broke after them; None if the outcome is unknown."""
         if not frames:
             return None
@@ -187,44 +190,44 @@
 class Transaction:
     """The commands of a MULTI, which are sent together with MULTI and EXEC, so that they run as one.
 
-    `flavour`: its RESP version. `commands`: the bytes of each command. `writes`: whether one of them writes.
+    `link_variant`: its RESP version. `commands`: the bytes of each command. `writes`: whether one of them writes.
     """
 
-    flavour: int
+    link_variant: int
     commands: tuple[bytes, ...]
     writes: bool
 
-    def payload(self, question: Question, left: float = 0.0) -> bytes:
-        """The bytes to send: MULTI, the commands, EXEC and the status commands of this question. `left` is not used."""
+    def payload(self, status_query: StatusQuery, left: float = 0.0) -> bytes:
+        """The bytes to send: MULTI, the commands, EXEC and the status commands of this query. `left` is not used."""
         body = MULTI + b"".join(self.commands) + EXEC
         return (
-            body + STATUS_COMMANDS[question]
+            body + STATUS_COMMANDS[status_query]
             if self.writes
-            else STATUS_COMMANDS[question] + body + TRAILING_STATUS_COMMANDS[question]
+            else STATUS_COMMANDS[status_query] + body + TRAILING_STATUS_COMMANDS[status_query]
         )
 
-    def frames(self, question: Question) -> int:
+    def frames(self, status_query: StatusQuery) -> int:
         """How many frames answer it: one for each command, MULTI, EXEC and each status command."""
-        return len(self.commands) + 2 + bool(question) + bool(TRAILING_STATUS_COMMANDS[question])
+        return len(self.commands) + 2 + bool(status_query) + bool(TRAILING_STATUS_COMMANDS[status_query])
 
-    def read(self, frames: list[bytes], question: Question) -> Result | None:
+    def interpret(self, frames: list[bytes], status_query: StatusQuery) -> Result | None:
         """What the frames so far mean; None while more are needed."""
         if len(frames) == 1 and status(frames[0]) is Status.FULL:
             return Result(Status.FULL)
-        if len(frames) < self.frames(question):
+        if len(frames) < self.frames(status_query):
             return None
-        if not question:
+        if not status_query:
             return self._verdict(frames, None)
         if self.writes:
             return self._verdict(frames[:-1], parse_replication_status(frames[-1]))
-        if not TRAILING_STATUS_COMMANDS[question]:
+        if not TRAILING_STATUS_COMMANDS[status_query]:
             return self._verdict(frames[1:], parse_replication_status(frames[0]))
         return replace(
             self._verdict(frames[1:-1], parse_replication_status(frames[0])),
-            after=parse_replication_status(frames[-1]),
+            status_behind=parse_replication_status(frames[-1]),
         )
 
-    def cut(self, frames: list[bytes], question: Question) -> Result | None:
+    def result_of_broken_link(self, frames: list[bytes], status_query: StatusQuery) -> Result | None:
         """What the frames mean if the link broke after them; None if the outcome is unknown."""
         if self.writes and len(frames) == len(self.commands) + 2:
             return self._verdict(frames, None)
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -18,7 +18,7 @@
 from banklift.proxy import events as ev
 from banklift.proxy.machine import Machine
 from banklift.proxy.plan import Config
-from banklift.proxy.wire import Ask, Failed, Final, Question, Refused, Served
+from banklift.proxy.wire import ClientRequest, Failed, Final, Refused, Served, StatusQuery
 from banklift.resp.front import Client, Place, RespFront
 from banklift.resp.proofs import RespProofs
 
@@ -105,7 +105,7 @@
         if isinstance(final, Served):
             return super()._finish_request(request, final)
         pending = self.pending.pop(request)
-        self.queues.leave(pending.request.group, pending.request.kind.name, self.now)
+        self.queues.leave(pending.request.group, pending.request.request_class.name, self.now)
         self.actions.append(ev.CloseClient(pending.request.client))
         self.front.lost(pending.request.client)
 
@@ -145,7 +145,11 @@
 
     def _finish_request(self, request: int, final: Final) -> None:
         pending = self.pending.get(request)
-        if isinstance(final, Served) and pending is not None and pending.request.kind.need is Need.WRITE:
+        if (
+            isinstance(final, Served)
+            and pending is not None
+            and pending.request.request_class.need is Need.WRITE
+        ):
             before, self.last = self.last, final.answer
             if before is not None and request % 3 == 0:
                 final = Served(before, final.seen)
@@ -182,26 +186,31 @@
     def _start_attempt(self, request: int, member: str, timeout: float) -> None:
         super()._start_attempt(request, member, timeout)
         pending, record = self.pending.get(request), self.members_by_balancer_name.get(member)
-        if pending is None or record is None or pending.request.kind.need is Need.WRITE or request % ONE_IN:
+        if (
+            pending is None
+            or record is None
+            or pending.request.request_class.need is Need.WRITE
+            or request % ONE_IN
+        ):
             return
         for other in self.members.values():
             if other.group == record.group and other is not record and (idle := other.idle_links.get(2)):
                 link = idle.pop()  # never asked again, so its answer goes nowhere
                 del self.idle_links[link.id]
-                self.actions.append(ev.ToLink(link.id, pending.request.exchange.payload(Question.NONE)))
+                self.actions.append(ev.ToLink(link.id, pending.request.exchange.payload(StatusQuery.NONE)))
                 return
 
 
 class Liar(Machine):
     """Acknowledges writes that it sends nowhere."""
 
-    def submit(self, ask: Ask) -> int:
-        if ask.kind.need is Need.WRITE and (self.last_request_id + 1) % ONE_IN == 0:
+    def submit(self, request: ClientRequest) -> int:
+        if request.request_class.need is Need.WRITE and (self.last_request_id + 1) % ONE_IN == 0:
             self.last_request_id += 1
-            ask.ids.append(self.last_request_id)
-            self.front.done(ask, Served(b":5\r\n"))
+            request.ids.append(self.last_request_id)
+            self.front.done(request, Served(b":5\r\n"))
             return self.last_request_id
-        return super().submit(ask)
+        return super().submit(request)
 
 
 # ---- drains, cold members
@@ -239,9 +248,9 @@
         super().__init__(*args)  # type: ignore[arg-type]
         proofs_of(self).proves = lambda attempt, fact: True  # type: ignore[method-assign]
 
-    def submit(self, ask: Ask) -> int:
-        ask.seen, ask.current = None, False
-        return super().submit(ask)
+    def submit(self, request: ClientRequest) -> int:
+        request.must_reflect, request.must_see_all = None, False
+        return super().submit(request)
 
 
 class NowTrack(ReplicationHistory):
@@ -277,7 +286,11 @@
 
     def _finish_request(self, request: int, final: Final) -> None:
         pending = self.pending.get(request)
-        if isinstance(final, Served) and pending is not None and pending.request.kind.need is not Need.WRITE:
+        if (
+            isinstance(final, Served)
+            and pending is not None
+            and pending.request.request_class.need is not Need.WRITE
+        ):
             final = Served(final.answer)
         super()._finish_request(request, final)
 
@@ -300,9 +313,9 @@
             pending = self.pending.get(request)
             if isinstance(final, Served) and pending is not None:
                 before = self.last
-                if pending.request.kind.need in (among or (need,)):
+                if pending.request.request_class.need in (among or (need,)):
                     self.last = final.answer
-                if pending.request.kind.need is need and before is not None and request % 5 == 0:
+                if pending.request.request_class.need is need and before is not None and request % 5 == 0:
                     final = Served(before, final.seen)
             super()._finish_request(request, final)
 
@@ -332,19 +345,21 @@
         super().__init__(*args)
         self.cache: dict[bytes, bytes] = {}
 
-    def submit(self, ask: Ask) -> int:
-        key = ask.exchange.payload(Question.NONE).partition(b":rid:")[0]
-        if ask.kind.need is Need.ANY and key in self.cache and self.last_request_id % 3 == 0:
+    def submit(self, request: ClientRequest) -> int:
+        key = request.exchange.payload(StatusQuery.NONE).partition(b":rid:")[0]
+        if request.request_class.need is Need.ANY and key in self.cache and self.last_request_id % 3 == 0:
             self.last_request_id += 1
-            ask.ids.append(self.last_request_id)
-            self.front.done(ask, Served(self.cache[key]))
+            request.ids.append(self.last_request_id)
+            self.front.done(request, Served(self.cache[key]))
             return self.last_request_id
-        return super().submit(ask)
+        return super().submit(request)
 
     def _finish_request(self, request: int, final: Final) -> None:
         pending = self.pending.get(request)
         if isinstance(final, Served) and pending is not None:
-            self.cache[pending.request.exchange.payload(Question.NONE).partition(b":rid:")[0]] = final.answer
+            self.cache[pending.request.exchange.payload(StatusQuery.NONE).partition(b":rid:")[0]] = (
+                final.answer
+            )
         super()._finish_request(request, final)
 
 
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -14,7 +14,7 @@
 from banklift.proxy import events as ev
 from banklift.proxy.machine import Attempt, Machine, PendingRequest
 from banklift.proxy.plan import Config, Limits
-from banklift.proxy.wire import Ask
+from banklift.proxy.wire import ClientRequest
 from banklift.resp.frames import command
 from banklift.resp.proofs import RespProofs
 from banklift.resp.wire import INFO, ROLE, Single
@@ -448,7 +448,7 @@
     rig.offsets.clear()
     rig.tell(ev.LinkLost(link, "reset"))
     (request,) = rig.machine.pending.values()
-    assert request.request.kind.name == stamp.name
+    assert request.request.request_class.name == stamp.name
     rig.now += stamp.window + past
     rig.tell(ev.ClientEof(1))
     assert rig.answer().startswith(word)
@@ -601,7 +601,7 @@
     primary, replica = rig.machine.members["p"], rig.machine.members["r"]
     primary.pending_probes.clear()
     rig.machine.actions = []
-    rig.proofs.probing(replica)
+    rig.proofs.before_probe(replica)
     rig.machine.probe(replica)
     assert primary.pending_probes and replica.pending_probes
     primary.pending_probes.clear()
@@ -720,7 +720,7 @@
         attempt = Attempt(
             PendingRequest(
                 1,
-                Ask(
+                ClientRequest(
                     1,
                     next(kind for kind in rig.machine.balancer.settings.classes if kind.name == "trace-view"),
                     0,
