--- a/banklift/config/build.py
+++ b/banklift/config/build.py
@@ -5,7 +5,7 @@
 from banklift import interface as io
 from banklift.config.policy import Policy, under
 from banklift.interface import RequestClass, State
-from banklift.proxy.events import Adopt, Listed, Roster
+from banklift.proxy.events import ApplyConfig, ListedMember, Roster
 from banklift.proxy.machine import Machine
 from banklift.proxy.plan import Config, Group
 from banklift.resp.front import RespFront
@@ -50,11 +50,11 @@
     )
 
 
-def adopt(config: Config, policy: Policy) -> Adopt:
+def adopt(config: Config, policy: Policy) -> ApplyConfig:
     """The event that makes the machine go on under this policy."""
     plan = under(config, policy)
     classes = tuple(Routes(plan).classes.values())
-    return Adopt(settings(plan, classes), plan.limits, plan)
+    return ApplyConfig(settings(plan, classes), plan.limits, plan)
 
 
 def roster(config: Config, groups: list[Group], epoch: float) -> Roster:
@@ -65,7 +65,7 @@
     indexes = {group.name: index for index, group in enumerate(config.groups)}
     return Roster(
         tuple(
-            Listed(
+            ListedMember(
                 member.name,
                 indexes[group.name],
                 member.address,
--- a/banklift/discovery/catalogue.py
+++ b/banklift/discovery/catalogue.py
@@ -11,7 +11,7 @@
 from msgspec import Meta
 
 from banklift.interface import ListKind, State
-from banklift.proxy.events import Listed, Roster
+from banklift.proxy.events import ListedMember, Roster
 
 STATES_BY_NAME = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
 
@@ -77,7 +77,7 @@
     """Convert a list to a `Roster`. `kind` replaces what the list says of itself."""
     return Roster(
         tuple(
-            Listed(
+            ListedMember(
                 target.uid,
                 target.pod_group,
                 target.endpoint,
--- a/banklift/emulator/world.py
+++ b/banklift/emulator/world.py
@@ -43,7 +43,7 @@
         if not self.closed and self.other_end is not None:
             self._deliver(lambda other_end: other_end._data_arrived(data))
 
-    def finish(self, away: bool = False) -> None:
+    def finish(self, discard_input: bool = False) -> None:
         """Close; what was sent before still arrives, so this equals `close`."""
         self.close()
 
--- a/banklift/net/env.py
+++ b/banklift/net/env.py
@@ -16,9 +16,9 @@
     def send(self, data: bytes) -> None:
         """Send `data`, or queue it until it can be sent."""
 
-    def finish(self, away: bool = False) -> None:
-        """Close once everything was sent. This end's peer gets no more events. `away`: the other end sends no more
-        requests, so its input may be read and discarded."""
+    def finish(self, discard_input: bool = False) -> None:
+        """Close once everything was sent. This end's peer gets no more events. `discard_input`: the other end sends no
+        more requests, so its input may be read and discarded."""
 
     def close(self) -> None:
         """Close at once. This end's peer gets no more events."""
--- a/banklift/net/fleet_daemon.py
+++ b/banklift/net/fleet_daemon.py
@@ -79,7 +79,7 @@
     def extend(self, until: float, retry_after: float) -> None:
         """Accept requests up to the time `until`, on the clock of `Env`. Later ones are refused, with `retry_after` in
         seconds."""
-        self.router.tell(ev.Until(until, retry_after))
+        self.router.tell(ev.AcceptUntil(until, retry_after))
 
 
 def join(
--- a/banklift/net/router.py
+++ b/banklift/net/router.py
@@ -71,10 +71,10 @@
         clients, links = self.clients, self.links
         for action in self.machine.handle(self.env.now(), event):
             match action:
-                case ev.ToClient(client, data):
+                case ev.SendToClient(client, data):
                     if client in clients:
                         clients[client].send(data)
-                case ev.ToLink(link, data):
+                case ev.SendToLink(link, data):
                     if link in links:
                         links[link].send(data)
                 case ev.OpenLink(link, address):
@@ -82,18 +82,18 @@
                 case ev.CloseLink(link):
                     if (handle := links.pop(link, None)) is not None:
                         handle.close()
-                case ev.CloseClient(client, away):
+                case ev.CloseClient(client, discard_input):
                     if (handle := clients.pop(client, None)) is not None:
-                        handle.finish(away)
+                        handle.finish(discard_input)
                 case ev.PauseClient(client):
                     if client in clients:
                         clients[client].pause()
                 case ev.ResumeClient(client):
                     if client in clients:
                         clients[client].resume()
-                case ev.AskRoster(watch):
+                case ev.RequestRoster(watch):
                     self.request_roster(watch)
-                case ev.Note(text, fields):
+                case ev.LogEvent(text, fields):
                     self.log(text, fields)
         self.alarm.look()
 
@@ -104,7 +104,7 @@
     def leave(self) -> None:
         """Stop listening, and close each connection as soon as no request is pending on it."""
         self.listener.close()
-        self.tell(ev.Leave())
+        self.tell(ev.Stop())
 
     def _check_for_stall(self) -> None:
         """Notice that this process was stopped: data that arrives next may have been sent long ago."""
@@ -174,17 +174,19 @@
         if self.delayed_data is not None:
             self.delayed_data.append(data)
             return
-        since = host.earliest_send_time()
-        if since is None:
+        sent_at_earliest = host.earliest_send_time()
+        if sent_at_earliest is None:
             host.tell(ev.ClientData(self.id, data))
             return
         self.delayed_data = [data]
-        host.env.at(host.env.now() + STALL_SETTLE_SECONDS, lambda: self._deliver_delayed_data(since))
+        host.env.at(
+            host.env.now() + STALL_SETTLE_SECONDS, lambda: self._deliver_delayed_data(sent_at_earliest)
+        )
 
-    def _deliver_delayed_data(self, since: float) -> None:
+    def _deliver_delayed_data(self, sent_at_earliest: float) -> None:
         delayed_data, self.delayed_data = self.delayed_data, None
         if delayed_data:
-            self.host.tell(ev.ClientData(self.id, b"".join(delayed_data), since))
+            self.host.tell(ev.ClientData(self.id, b"".join(delayed_data), sent_at_earliest))
 
     def eof(self) -> None:
         if self.host.deferred_calls is not None:
@@ -198,10 +200,10 @@
         self.host.tell(ev.ClientHalfClosed(self.id))
 
     def full(self) -> None:
-        self.host.tell(ev.ClientFull(self.id))
+        self.host.tell(ev.ClientBacklogged(self.id))
 
     def free(self) -> None:
-        self.host.tell(ev.ClientFree(self.id))
+        self.host.tell(ev.ClientDrained(self.id))
 
     def lost(self, reason: str) -> None:
         if self.host.deferred_calls is not None:
--- a/banklift/net/sockets.py
+++ b/banklift/net/sockets.py
@@ -25,8 +25,9 @@
 socket is closed when the other end has closed as well, or after `LINGERING_CLOSE_SECONDS`. The reason is that the
 kernel answers unread bytes with a reset, and a reset can destroy an answer that the other end has not read yet. What
 the other end sends meanwhile is not read: a request that arrives after the end was not accepted, and its client may
-send it again elsewhere. Only with `away`, where the input can't contain a request any more, up to `DISCARD_LIMIT_BYTES`
-are read and discarded, so that a client that reads only after it has written everything still gets its answer.
+send it again elsewhere. Only with `discard_input`, where the input can't contain a request any more, up to
+`DISCARD_LIMIT_BYTES` are read and discarded, so that a client that reads only after it has written everything still
+gets its answer.
 """
 
 from __future__ import annotations
@@ -176,12 +177,13 @@
             self._is_slow_reader = True
             self.peer.full()
 
-    def finish(self, away: bool = False) -> None:
-        """End the connection by a lingering close. `away`: read and discard up to `DISCARD_LIMIT_BYTES` meanwhile."""
+    def finish(self, discard_input: bool = False) -> None:
+        """End the connection by a lingering close. `discard_input`: read and discard up to `DISCARD_LIMIT_BYTES`
+        meanwhile."""
         if self.closed or self._is_finished:
             return
         self._is_finished = True
-        self._discardable_bytes = DISCARD_LIMIT_BYTES if away else 0
+        self._discardable_bytes = DISCARD_LIMIT_BYTES if discard_input else 0
         if self._queued:
             self.flush()  # at once, as `linger` distinguishes connections with and without unsent bytes
         elif self.all_sent:
@@ -312,7 +314,7 @@
         """Do nothing."""
         return
 
-    def finish(self, away: bool = False) -> None:
+    def finish(self, discard_input: bool = False) -> None:
         """Close; the peer is then not told of the failure."""
         self.closed = True
 
--- a/banklift/pg/front.py
+++ b/banklift/pg/front.py
@@ -142,7 +142,9 @@
                 self._close(evicted)
             else:
                 self.core.actions.append(
-                    ev.ToClient(client_id, frames.error("53300", "too many connections", severity="FATAL"))
+                    ev.SendToClient(
+                        client_id, frames.error("53300", "too many connections", severity="FATAL")
+                    )
                 )
                 self.core.actions.append(ev.CloseClient(client_id))
                 return
@@ -261,7 +263,7 @@
             queue.popleft()
         if answers:
             self.core.actions.append(
-                ev.ToClient(client.id, answers[0] if len(answers) == 1 else b"".join(answers))
+                ev.SendToClient(client.id, answers[0] if len(answers) == 1 else b"".join(answers))
             )
             client.waiting_since = self.core.now
         if queue:
@@ -338,7 +340,7 @@
                 if waited >= READ_TIMEOUT_S:
                     if client.reader.started:
                         self.core.actions.append(
-                            ev.ToClient(
+                            ev.SendToClient(
                                 client.id,
                                 frames.error(
                                     "57P05",
--- a/banklift/proxy/events.py
+++ b/banklift/proxy/events.py
@@ -27,7 +27,7 @@
 
     client: int
     data: bytes
-    since: float | None = None  # the earliest time at which they may have been sent; None: now
+    sent_at_earliest: float | None = None  # the earliest time at which they may have been sent; None: now
 
 
 class ClientHalfClosed(msgspec.Struct, frozen=True, gc=False):
@@ -48,14 +48,14 @@
     client: int
 
 
-class ClientFull(msgspec.Struct, frozen=True, gc=False):
+class ClientBacklogged(msgspec.Struct, frozen=True, gc=False):
     """Unsent answers to a client pile up, as it does not read them."""
 
     client: int
 
 
-class ClientFree(msgspec.Struct, frozen=True, gc=False):
-    """The unsent answers to a client have gone down again after `ClientFull`."""
+class ClientDrained(msgspec.Struct, frozen=True, gc=False):
+    """The unsent answers to a client have gone down again after `ClientBacklogged`."""
 
     client: int
 
@@ -86,7 +86,7 @@
     end: float
 
 
-class Leave(msgspec.Struct, frozen=True, gc=False):
+class Stop(msgspec.Struct, frozen=True, gc=False):
     """The router stops: pending requests are answered, and each connection is closed once nothing is pending on it."""
 
 
@@ -94,7 +94,7 @@
     """The time `Machine.wake` has come."""
 
 
-class Adopt(msgspec.Struct, frozen=True):
+class ApplyConfig(msgspec.Struct, frozen=True):
     """Apply a new configuration to requests from now on; pending requests keep theirs."""
 
     settings: Settings
@@ -102,14 +102,14 @@
     plan: object  # the front's part of the configuration, see `Front.adopt`
 
 
-class Until(msgspec.Struct, frozen=True):
+class AcceptUntil(msgspec.Struct, frozen=True):
     """Requests are accepted until `time`, the end of a lease. Later ones are refused at once."""
 
     time: float
-    back: float  # retry-after of refused requests, in seconds
+    retry_after: float  # retry-after of refused requests, in seconds
 
 
-class Listed(msgspec.Struct, frozen=True):
+class ListedMember(msgspec.Struct, frozen=True):
     """One member in a roster."""
 
     name: str
@@ -123,7 +123,7 @@
 class Roster(msgspec.Struct, frozen=True):
     """The list of members, whole or as `kind` says. A list of changes names removed members with the state `GONE`."""
 
-    members: tuple[Listed, ...] = ()
+    members: tuple[ListedMember, ...] = ()
     kind: ListKind = ListKind.FULL
 
 
@@ -133,21 +133,21 @@
     | ClientHalfClosed
     | ClientEof
     | ClientLost
-    | ClientFull
-    | ClientFree
+    | ClientBacklogged
+    | ClientDrained
     | LinkUp
     | LinkData
     | LinkLost
     | Drain
-    | Leave
+    | Stop
     | Wake
-    | Adopt
-    | Until
+    | ApplyConfig
+    | AcceptUntil
     | Roster
 )
 
 
-class ToClient(msgspec.Struct, frozen=True, gc=False):
+class SendToClient(msgspec.Struct, frozen=True, gc=False):
     """Send bytes to a client."""
 
     client: int
@@ -158,7 +158,7 @@
     """Close a client's connection once everything written to it was sent."""
 
     client: int
-    away: bool = False  # what it still sends can't be a request, and may be read and dropped
+    discard_input: bool = False  # what it still sends can't be a request, and may be read and dropped
 
 
 class PauseClient(msgspec.Struct, frozen=True, gc=False):
@@ -180,7 +180,7 @@
     address: str  # host:port of the member
 
 
-class ToLink(msgspec.Struct, frozen=True, gc=False):
+class SendToLink(msgspec.Struct, frozen=True, gc=False):
     """Send bytes on a link."""
 
     link: int
@@ -193,13 +193,13 @@
     link: int
 
 
-class AskRoster(msgspec.Struct, frozen=True, gc=False):
+class RequestRoster(msgspec.Struct, frozen=True, gc=False):
     """Request the list of members; `Roster` follows."""
 
     watch: bool  # for its changes from now on; if false, for the whole list once
 
 
-class Note(msgspec.Struct, frozen=True):
+class LogEvent(msgspec.Struct, frozen=True):
     """Write a line to the log."""
 
     event: str
@@ -207,5 +207,13 @@
 
 
 Action = (
-    ToClient | CloseClient | PauseClient | ResumeClient | OpenLink | ToLink | CloseLink | AskRoster | Note
+    SendToClient
+    | CloseClient
+    | PauseClient
+    | ResumeClient
+    | OpenLink
+    | SendToLink
+    | CloseLink
+    | RequestRoster
+    | LogEvent
 )
--- a/banklift/proxy/machine.py
+++ b/banklift/proxy/machine.py
@@ -15,7 +15,7 @@
   taken for the answer to another request.
 - A member that restarted with new data is listed to the balancer as gone, and as a new member under a new name:
   what was proven about the old data does not hold for the new.
-- The member list arrives unasked, or is requested with `ev.AskRoster` when the balancer returns `Watch` or `Fetch`.
+- The member list arrives unasked, or is requested with `ev.RequestRoster` when the balancer returns `Watch` or `Fetch`.
 - The balancer ends every request in time; `Front.done` is called once for each request.
 """
 
@@ -186,8 +186,8 @@
         """Process one event at `now` (seconds on the router's clock); return the actions to carry out, in order."""
         self.now, self.actions = now, []
         match event:
-            case ev.ClientData(client, data, since):
-                self.input_sent_at = now if since is None else since
+            case ev.ClientData(client, data, sent_at_earliest):
+                self.input_sent_at = now if sent_at_earliest is None else sent_at_earliest
                 self.front.data(client, data)
                 self.input_sent_at = None
             case ev.LinkData(link, data):
@@ -203,9 +203,9 @@
                 self.front.half_closed(client)
             case ev.ClientLost(client):
                 self.front.lost(client)
-            case ev.ClientFull(client):
+            case ev.ClientBacklogged(client):
                 self.front.set_output_full(client, True)
-            case ev.ClientFree(client):
+            case ev.ClientDrained(client):
                 self.front.set_output_full(client, False)
             case ev.LinkUp(link):
                 if link in self.links:
@@ -215,11 +215,11 @@
                     self._link_lost(self.links[link], reason)
             case ev.Drain(end):
                 self._begin_drain(end)
-            case ev.Leave():
+            case ev.Stop():
                 self.front.leave()
-            case ev.Until(until, back):
-                self.accept_until, self.refusal_retry_after = until, back
-            case ev.Adopt(settings, limits, plan):
+            case ev.AcceptUntil(until, retry_after):
+                self.accept_until, self.refusal_retry_after = until, retry_after
+            case ev.ApplyConfig(settings, limits, plan):
                 adopt(self.balancer, settings)
                 self.limits = limits
                 self.queues.set_limits(limits.queue, settings.max_retry_after)
@@ -252,7 +252,7 @@
 
     def log(self, event: str, **fields: object) -> None:
         """Write an event to the router's log."""
-        self.actions.append(ev.Note(event, fields))
+        self.actions.append(ev.LogEvent(event, fields))
 
     # ---- requests, for fronts
 
@@ -389,9 +389,9 @@
             case io.Log(text):
                 self.log("module", text=text)
             case io.Watch():
-                self.actions.append(ev.AskRoster(True))
+                self.actions.append(ev.RequestRoster(True))
             case io.Fetch():
-                self.actions.append(ev.AskRoster(False))
+                self.actions.append(ev.RequestRoster(False))
 
     def _log_unserved(self, request: int, answer: str, reason: str) -> None:
         """Log a refused or failed request with the outcome of each attempt, at most `MAX_UNSERVED_LINES` a second.
@@ -517,7 +517,7 @@
         payload = attempt.pending.request.exchange.payload(
             attempt.status_query, attempt.expires_at - self.now
         )
-        self.actions.append(ev.ToLink(link.id, payload))
+        self.actions.append(ev.SendToLink(link.id, payload))
 
     def _attempt_expired(self, request: int, number: int) -> None:
         """End an attempt whose time is over."""
@@ -630,7 +630,7 @@
             and not link.greeting_frames
             and (self.wire.pipelines_probes or len(member.pending_probes) == 1)
         ):
-            self.actions.append(ev.ToLink(link.id, self.wire.probe()))
+            self.actions.append(ev.SendToLink(link.id, self.wire.probe()))
         self.call_at(asked + self.limits.probe, lambda: self._probe_expired(member, link, asked))
 
     def _probe_expired(self, member: MemberRecord, link: Link, asked: float) -> None:
@@ -657,7 +657,7 @@
         asked = member.pending_probes.popleft()
         link.idle_since = self.now
         if member.pending_probes and not self.wire.pipelines_probes:
-            self.actions.append(ev.ToLink(link.id, self.wire.probe()))
+            self.actions.append(ev.SendToLink(link.id, self.wire.probe()))
         elif not member.pending_probes and link.link_variant != PROBE_LINK_VARIANT:
             member.probe_link, link.unused = None, False
             self._link_free(link)
@@ -703,7 +703,7 @@
         link.up = True
         greeting, link.greeting_frames = self.wire.greeting(link.link_variant)
         if greeting:
-            self.actions.append(ev.ToLink(link.id, greeting))
+            self.actions.append(ev.SendToLink(link.id, greeting))
         if not link.greeting_frames:
             self._greeting_done(link)
 
@@ -715,7 +715,7 @@
             self._link_free(link)
         elif asked := len(link.member.pending_probes):
             self.actions.append(
-                ev.ToLink(link.id, self.wire.probe() * (asked if self.wire.pipelines_probes else 1))
+                ev.SendToLink(link.id, self.wire.probe() * (asked if self.wire.pipelines_probes else 1))
             )
 
     def _link_free(self, link: Link) -> None:
@@ -917,7 +917,7 @@
 
     # ---- members
 
-    def _apply_roster(self, members: tuple[ev.Listed, ...], kind: ListKind = ListKind.FULL) -> None:
+    def _apply_roster(self, members: tuple[ev.ListedMember, ...], kind: ListKind = ListKind.FULL) -> None:
         """Apply a member list or a list of changes, and pass it to the balancer with its names of the members."""
         if kind is ListKind.FAILED:
             self._notify_balancer(io.Listing(kind))
--- a/banklift/resp/front.py
+++ b/banklift/resp/front.py
@@ -158,7 +158,7 @@
     def opened(self, client: int) -> None:
         """A client connected; it is turned away if `limits.clients` connections are open."""
         if len(self.clients) >= self.config.limits.clients:
-            self.core.actions.append(ev.ToClient(client, b"-ERR max number of clients reached\r\n"))
+            self.core.actions.append(ev.SendToClient(client, b"-ERR max number of clients reached\r\n"))
             self.core.actions.append(ev.CloseClient(client))
             return
         self.clients[client] = Client(client, CommandReader(self.config.limits.frame))
@@ -337,7 +337,7 @@
         if state.id not in self.clients:
             return
         if out:
-            self.core.actions.append(ev.ToClient(state.id, out[0] if len(out) == 1 else b"".join(out)))
+            self.core.actions.append(ev.SendToClient(state.id, out[0] if len(out) == 1 else b"".join(out)))
         if state.closing and not line:
             del self.clients[state.id]
             self.core.actions.append(ev.CloseClient(state.id))
--- a/banklift/rig/capacity_members.py
+++ b/banklift/rig/capacity_members.py
@@ -132,9 +132,9 @@
                     self._schedule(CONNECT_SECONDS, ev.LinkUp(link))
                 case ev.CloseLink(link):
                     self.links.pop(link, None)
-                case ev.ToLink(link, data):
+                case ev.SendToLink(link, data):
                     self._answer(link, data)
-                case ev.ToClient(client, data):
+                case ev.SendToClient(client, data):
                     if data[:1] == b"T":  # a row description: the request was served, not refused
                         self.served += 1
                         self._schedule(CLIENT_CLOSE_SECONDS, ev.ClientLost(client))
--- a/banklift/rig/node_env.py
+++ b/banklift/rig/node_env.py
@@ -81,8 +81,8 @@
         self.tap(self.handle.source, data)
         self.handle.send(data)
 
-    def finish(self, away: bool = False) -> None:
-        self.handle.finish(away)
+    def finish(self, discard_input: bool = False) -> None:
+        self.handle.finish(discard_input)
 
     def close(self) -> None:
         self.handle.close()
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -70,7 +70,7 @@
             if isinstance(action, ev.OpenLink):
                 self.links[action.link] = action.address
                 todo.extend(self.machine.handle(self.now, ev.LinkUp(action.link)))
-            elif isinstance(action, ev.ToLink):
+            elif isinstance(action, ev.SendToLink):
                 primary = self.links[action.link] == "m:0"
                 if primary and self.late and action.data != INFO:
                     continue
--- a/benchmarks/machine.py
+++ b/benchmarks/machine.py
@@ -31,7 +31,7 @@
             action = todo.popleft()
             if isinstance(action, ev.OpenLink):
                 todo.extend(machine.handle(now, ev.LinkUp(action.link)))
-            elif isinstance(action, ev.ToLink):
+            elif isinstance(action, ev.SendToLink):
                 now += 0.0001
                 told = b"$%d\r\n%b\r\n" % (len(relay.INFO), relay.INFO) if INFO in action.data else b""
                 value = relay.VALUE if relay.GET in action.data else b""
--- a/benchmarks/pg_machine.py
+++ b/benchmarks/pg_machine.py
@@ -64,7 +64,7 @@
         self.served = 0
         self.spent = 0.0
         members = tuple(
-            ev.Listed(f"s{group}{place}", group, f"s{group}{place}:1", State.READY, place == 0)
+            ev.ListedMember(f"s{group}{place}", group, f"s{group}{place}:1", State.READY, place == 0)
             for group in range(3)
             for place in range(3)
         )
@@ -85,7 +85,7 @@
                     self.later(0.005, ev.LinkUp(link))
                 case ev.CloseLink(link):
                     del self.links[link]
-                case ev.ToLink(link, data):
+                case ev.SendToLink(link, data):
                     primary = self.links[link][2] == "0"
                     if data[4:8] == b"\0\x03\0\0":
                         self.later(0.001, ev.LinkData(link, frames.AUTHENTICATED + frames.READY))
@@ -93,7 +93,7 @@
                         self.later(0.002, ev.LinkData(link, usage(self.now, primary)))
                     else:
                         self.later(0.03, ev.LinkData(link, answer(self.now, primary)))
-                case ev.ToClient(client, data):
+                case ev.SendToClient(client, data):
                     if data[:1] == b"T":
                         self.served += 1
                         self.later(0.5, ev.ClientLost(client))
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -86,7 +86,7 @@
     def handle(self, now: float, event: ev.Event) -> list[ev.Action]:
         actions = super().handle(now, event)
         for action in list(actions):
-            if isinstance(action, ev.ToClient) and self.last_request_id % ONE_IN == 0:
+            if isinstance(action, ev.SendToClient) and self.last_request_id % ONE_IN == 0:
                 actions.append(action)
         return actions
 
@@ -128,7 +128,7 @@
             link = last.link
             if link is not None and link.id in self.links:
                 data = pending.request.exchange.payload(last.status_query)
-                self.call_at(self.now + 0.2, lambda: self.actions.append(ev.ToLink(link.id, data)))
+                self.call_at(self.now + 0.2, lambda: self.actions.append(ev.SendToLink(link.id, data)))
 
 
 class Undead(Machine):
@@ -197,7 +197,9 @@
             if other.group == record.group and other is not record and (idle := other.idle_links.get(2)):
                 link = idle.pop()  # never asked again, so its answer goes nowhere
                 del self.idle_links[link.id]
-                self.actions.append(ev.ToLink(link.id, pending.request.exchange.payload(StatusQuery.NONE)))
+                self.actions.append(
+                    ev.SendToLink(link.id, pending.request.exchange.payload(StatusQuery.NONE))
+                )
                 return
 
 
@@ -219,7 +221,9 @@
 class Deaf(Machine):
     """Hears the first roster only."""
 
-    def _apply_roster(self, members: tuple[ev.Listed, ...], kind: io.ListKind = io.ListKind.FULL) -> None:
+    def _apply_roster(
+        self, members: tuple[ev.ListedMember, ...], kind: io.ListKind = io.ListKind.FULL
+    ) -> None:
         if not self.members:
             super()._apply_roster(members)
 
@@ -227,14 +231,18 @@
 class HalfDeaf(Machine):
     """Takes every member that is listed for ready."""
 
-    def _apply_roster(self, members: tuple[ev.Listed, ...], kind: io.ListKind = io.ListKind.FULL) -> None:
+    def _apply_roster(
+        self, members: tuple[ev.ListedMember, ...], kind: io.ListKind = io.ListKind.FULL
+    ) -> None:
         super()._apply_roster(tuple(msgspec.structs.replace(one, state=io.State.READY) for one in members))
 
 
 class Young(Machine):
     """Takes every member for a warm one."""
 
-    def _apply_roster(self, members: tuple[ev.Listed, ...], kind: io.ListKind = io.ListKind.FULL) -> None:
+    def _apply_roster(
+        self, members: tuple[ev.ListedMember, ...], kind: io.ListKind = io.ListKind.FULL
+    ) -> None:
         super()._apply_roster(tuple(msgspec.structs.replace(one, started=None) for one in members))
 
 
--- a/tests/test_adopt.py
+++ b/tests/test_adopt.py
@@ -41,7 +41,7 @@
 def test_a_held_write_of_a_removed_class_is_refused_by_its_own_deadline() -> None:
     rig = Rig()
     rig.offsets.clear()  # no member answers probes, and the primary is gone
-    rig.tell(ev.Roster((ev.Listed("r", 0, "r:1"),)))
+    rig.tell(ev.Roster((ev.ListedMember("r", 0, "r:1"),)))
     rig.ask("SET", "note:1", "a")
     changes = without(rig, "note")
     change(rig, **changes)
@@ -132,7 +132,7 @@
     rig.ask("GET", "alert:1")
     link = rig.up("r:1")
     rig.tell(ev.ClientOpened(2))
-    rig.tell(ev.Until(rig.now + 1.0, 0.125))
+    rig.tell(ev.AcceptUntil(rig.now + 1.0, 0.125))
     rig.ask("GET", "alert:2", client=2)
     assert not rig.answer(2)
     rig.now += 1.0
@@ -141,7 +141,7 @@
     assert rig.answer(3) == b"-TRYAGAIN refused: nothing ran; retry_after_ms=125\r\n"
     rig.tell(ev.LinkData(link, info(False, 5) + b"$1\r\nx\r\n"))
     assert rig.answer() == b"$1\r\nx\r\n"
-    rig.tell(ev.Until(rig.now + 1.0, 0.125))
+    rig.tell(ev.AcceptUntil(rig.now + 1.0, 0.125))
     rig.tell(ev.ClientOpened(4))
     rig.ask("GET", "alert:4", client=4)
     assert b"nothing ran" not in rig.answer(4)
--- a/tests/test_fleet_daemon.py
+++ b/tests/test_fleet_daemon.py
@@ -106,7 +106,7 @@
         for message in FrameDecoder().feed(data):
             self.notes.append(f"{self.name}: {type(message).__name__}")
 
-    def finish(self, away: bool = False) -> None:
+    def finish(self, discard_input: bool = False) -> None:
         self.notes.append(f"{self.name}: finish")
 
     def close(self) -> None:
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -65,7 +65,9 @@
         # offsets in answers to probes; a member without one does not answer
         self.offsets = {"p:1": 5, "r:1": 5}
         self.probing: set[int] = set()  # links that carry probes
-        self.tell(ev.Roster((ev.Listed("p", 0, "p:1", State.READY, True), ev.Listed("r", 0, "r:1"))))
+        self.tell(
+            ev.Roster((ev.ListedMember("p", 0, "p:1", State.READY, True), ev.ListedMember("r", 0, "r:1")))
+        )
         self.tell(ev.ClientOpened(1))
 
     def tell(self, event: ev.Event) -> None:
@@ -74,11 +76,11 @@
         opened: list[int] = []
         for action in self.machine.handle(self.now, event):
             match action:
-                case ev.ToClient(client, data):
+                case ev.SendToClient(client, data):
                     self.answers[client] = self.answers.get(client, b"") + data
-                case ev.ToLink(link, data) if link in self.probing:
+                case ev.SendToLink(link, data) if link in self.probing:
                     asked += [link] * (len(data) // len(INFO))
-                case ev.ToLink(link, data):
+                case ev.SendToLink(link, data):
                     assert link not in self.closed
                     self.sent[link] = self.sent.get(link, b"") + data
                 case ev.OpenLink(link, address):
@@ -352,7 +354,9 @@
     link = rig.up("p:1")
     rig.tell(ev.LinkData(link, b"+OK\r\n" + info(True, 50)))
     rig.answer()
-    rig.tell(ev.Roster((ev.Listed("p", 0, "p:1", State.DRAINING, True), ev.Listed("r", 0, "r:1"))))
+    rig.tell(
+        ev.Roster((ev.ListedMember("p", 0, "p:1", State.DRAINING, True), ev.ListedMember("r", 0, "r:1")))
+    )
     assert link in rig.closed
     before = set(rig.links)
     rig.ask("SET", "pick:1", "b")
@@ -366,7 +370,7 @@
     rig.ask("SET", "pick:1", "a")
     link = rig.up("p:1")
     rig.tell(ev.LinkData(link, b"+OK\r\n" + info(True, 50)))
-    rig.tell(ev.Roster((ev.Listed("p", 0, "p:2", State.READY, True), ev.Listed("r", 0, "r:1"))))
+    rig.tell(ev.Roster((ev.ListedMember("p", 0, "p:2", State.READY, True), ev.ListedMember("r", 0, "r:1"))))
     assert link in rig.closed
     rig.ask("SET", "pick:1", "b")
     assert rig.links[max(rig.links)] == "p:2" or "p:2" in rig.links.values()
@@ -625,7 +629,7 @@
     link = rig.up("r:1")
     rig.tell(ev.LinkData(link, info(False, 5) + b"$1\r\nx\r\n"))
     assert rig.answer(2) == b"$1\r\nx\r\n"
-    rig.tell(ev.Roster((ev.Listed("p", 0, "p:1", State.READY, True),)))
+    rig.tell(ev.Roster((ev.ListedMember("p", 0, "p:1", State.READY, True),)))
     assert link in rig.closed and set(rig.machine.members) == {"p"}
     before = len(rig.data_links("r:1"))
     rig.ask("GET", "alert:1", client=2)
@@ -684,10 +688,10 @@
         rig.tell(ev.LinkData(link, info(rig.links[link] == "p:1", 5) + value))
     assert len(rig.answer()) == 2 * len(value)
     assert not rig.machine.pending
-    rig.tell(ev.ClientFull(1))
+    rig.tell(ev.ClientBacklogged(1))
     rig.wait(0.01)
     assert not rig.machine.pending
-    rig.tell(ev.ClientFree(1))
+    rig.tell(ev.ClientDrained(1))
     assert len(rig.machine.pending) == 2
 
 
