--- a/banklift/discovery/catalogue.py
+++ b/banklift/discovery/catalogue.py
@@ -16,7 +16,7 @@
 STATES_BY_NAME = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
 
 
-class BadList(Exception):
+class CatalogueError(Exception):
     """A list of members that is invalid; the text names the place and the fault."""
 
 
@@ -42,38 +42,38 @@
 _DECODER = msgspec.json.Decoder(Catalogue)
 
 
-def read(data: bytes | bytearray) -> Catalogue:
-    """Parse an answer of the catalogue (JSON). Raises `BadList` if it is invalid."""
+def parse(data: bytes | bytearray) -> Catalogue:
+    """Parse an answer of the catalogue (JSON). Raises `CatalogueError` if it is invalid."""
     try:
         catalogue = _DECODER.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise BadList(f"the list of members: {error}") from None
+        raise CatalogueError(f"the list of members: {error}") from None
     check_targets(catalogue)
     return catalogue
 
 
-def convert(value: object) -> Catalogue:
-    """Check a list that was decoded from JSON already. Raises `BadList` if it is invalid."""
+def from_json(value: object) -> Catalogue:
+    """Check a list that was decoded from JSON already. Raises `CatalogueError` if it is invalid."""
     try:
         catalogue = msgspec.convert(value, Catalogue)
     except msgspec.ValidationError as error:
-        raise BadList(f"the list of members: {error}") from None
+        raise CatalogueError(f"the list of members: {error}") from None
     check_targets(catalogue)
     return catalogue
 
 
 def check_targets(catalogue: Catalogue) -> None:
-    """Check what the types can't express. Raises `BadList` for an unknown state or a repeated member."""
+    """Check what the types can't express. Raises `CatalogueError` for an unknown state or a repeated member."""
     seen: set[str] = set()
     for target in catalogue.targets:
         if target.state not in STATES_BY_NAME:
-            raise BadList(f"the list of members: {target.uid} has the unknown state {target.state!r}")
+            raise CatalogueError(f"the list of members: {target.uid} has the unknown state {target.state!r}")
         if target.uid in seen:
-            raise BadList(f"the list of members: {target.uid} is listed twice")
+            raise CatalogueError(f"the list of members: {target.uid} is listed twice")
         seen.add(target.uid)
 
 
-def roster(catalogue: Catalogue, kind: ListKind | None = None) -> Roster:
+def to_roster(catalogue: Catalogue, kind: ListKind | None = None) -> Roster:
     """Convert a list to a `Roster`. `kind` replaces what the list says of itself."""
     return Roster(
         tuple(
--- a/banklift/discovery/client.py
+++ b/banklift/discovery/client.py
@@ -1,11 +1,11 @@
 """A client of the catalogue: it watches the list of members over HTTP, without I/O.
 
 Theory of operation. The client makes one HTTP call at a time, on one connection that it keeps. To watch, it asks for
-changes after the version that it has, as a long poll of `LONG_POLL` seconds, and calls again as soon as it has the
+changes after the version that it has, as a long poll of `LONG_POLL_SECONDS`, and calls again as soon as it has the
 answer, since the catalogue reports changes only to a pending call. To fetch, it asks for the whole list next.
 
 A call fails if its connection breaks or is not established, if its status is not 200, if its answer can't be parsed, or
-if the answer is incomplete `CALL_TIMEOUT` seconds after the end of its long poll. The connection is closed and the
+if the answer is incomplete `CALL_TIMEOUT_SECONDS` after the end of its long poll. The connection is closed and the
 failure is reported once. Whether and when to call again is decided by the user of this class, with two exceptions:
 
 - A watch without an answer by then is broken, whatever the state of the catalogue. It is opened again at once on a new
@@ -15,8 +15,8 @@
   with exponential back-off up to a part of the time in which a change has to be applied.
 
 An answer with an older version than the known one comes from a catalogue that was restarted, or from another one. Its
-changes have no known base, so the whole list is fetched. `move` starts a new call even if the address is the same: it
-may be called because the current call hangs.
+changes have no known base, so the whole list is fetched. `use_address` starts a new call even if the address is the
+same: it may be called because the current call hangs.
 
 The caller reports events with `connected`, `data`, `lost` and `tick`, and carries out `actions` in order; `due` is
 when it has to call `tick`. Times are seconds on the caller's clock.
@@ -30,12 +30,12 @@
 import h11
 import msgspec
 
-from banklift.discovery.catalogue import BadList, read, roster
+from banklift.discovery.catalogue import CatalogueError, parse, to_roster
 from banklift.interface import ListKind
 from banklift.proxy.events import Roster
 
-LONG_POLL = 4.0  # seconds of a watch's long poll; a silent catalogue is noticed only after its end
-CALL_TIMEOUT = 1.5  # seconds for connecting, and for an answer beyond the long poll
+LONG_POLL_SECONDS = 4.0  # seconds of a watch's long poll; a silent catalogue is noticed only after its end
+CALL_TIMEOUT_SECONDS = 1.5  # seconds for connecting, and for an answer beyond the long poll
 MAX_LIST_BYTES = 8 * 1024 * 1024
 
 
@@ -55,14 +55,14 @@
     """Close the connection; nothing more is to be reported of it."""
 
 
-class Tell(msgspec.Struct, frozen=True):
+class CallResult(msgspec.Struct, frozen=True):
     """The result of a call: a list for the machine, or a failure."""
 
     roster: Roster | None  # None: a failure that this client handles itself
     reason: str = ""  # of a failure, for the log
 
 
-Action = Connect | Send | Close | Tell
+Action = Connect | Send | Close | CallResult
 
 
 class Backoff:
@@ -83,12 +83,12 @@
         self.failures = 0
 
 
-class Client:
+class CatalogueClient:
     """Watches and fetches the list of members.
 
     `address` is the catalogue's host:port, `path` the list's path there, and `version` the version of the list that is
-    known already, or None. With `backoff`, the client itself opens a failed watch again; without, `ask` has to be
-    called again.
+    known already, or None. With `backoff`, the client itself opens a failed watch again; without, `request_list` has to
+    be called again.
     """
 
     def __init__(
@@ -107,7 +107,7 @@
         self.watching = False  # a watch goes on, or is to begin
         self.fetching = False  # the whole list is to be fetched
         self.whole_requested = False  # the current call asks for the whole list
-        self.watch_requested = False  # `ask` has requested a watch at some time
+        self.watch_requested = False  # `request_list` has requested a watch at some time
         self.in_call = False  # a call is pending, or waits for its connection
         self.is_open = False  # a connection is established or being established
         self.is_connected = False  # the connection is established
@@ -115,7 +115,7 @@
         self.body = bytearray()  # of the current answer
         self.http = h11.Connection(h11.CLIENT)
 
-    def ask(self, now: float, watch: bool) -> None:
+    def request_list(self, now: float, watch: bool) -> None:
         """Watch the list from now on, or fetch the whole list once."""
         if watch:
             self.watching = self.watch_requested = True
@@ -124,7 +124,7 @@
         if not self.in_call:
             self._start_call(now)
 
-    def move(self, now: float, address: str) -> None:
+    def use_address(self, now: float, address: str) -> None:
         """Use the catalogue at `address` from now on: repeat the current call there, and open a failed watch again."""
         self.address = address
         self._close_connection()
@@ -174,7 +174,7 @@
             self._start_call(now)
         elif self.is_connected and self.watching and not self.fetching:
             self._close_connection()
-            self.actions.append(Tell(None, "the watch was silent; opening it again"))
+            self.actions.append(CallResult(None, "the watch was silent; opening it again"))
             self._start_call(now)
         else:
             self._fail_call(
@@ -194,7 +194,7 @@
     def _start_call(self, now: float) -> None:
         """Start a call, on a new connection if there is none."""
         self.in_call = True
-        self.due = now + CALL_TIMEOUT
+        self.due = now + CALL_TIMEOUT_SECONDS
         if not self.is_open:
             self.is_open = True
             self.http = h11.Connection(h11.CLIENT)
@@ -204,12 +204,12 @@
 
     def _send_request(self, now: float) -> None:
         """Send the HTTP request of the current call: for the whole list, or for the changes since `version`."""
-        self.due = now + CALL_TIMEOUT + (0.0 if self.fetching else LONG_POLL)
+        self.due = now + CALL_TIMEOUT_SECONDS + (0.0 if self.fetching else LONG_POLL_SECONDS)
         self.status = 0
         self.body = bytearray()
         changes_only = not self.fetching and self.version is not None
         self.whole_requested = not changes_only
-        query = f"?after={self.version}&wait_ms={int(LONG_POLL * 1000)}" if changes_only else ""
+        query = f"?after={self.version}&wait_ms={int(LONG_POLL_SECONDS * 1000)}" if changes_only else ""
         request = h11.Request(
             method="GET",
             target=self.path + query,
@@ -222,8 +222,8 @@
         if self.status != 200:
             return self._fail_call(now, f"the catalogue answered {self.status}")
         try:
-            catalogue = read(self.body)
-        except BadList as error:
+            catalogue = parse(self.body)
+        except CatalogueError as error:
             return self._fail_call(now, str(error))
         if self.whole_requested and not catalogue.all:
             return self._fail_call(
@@ -243,17 +243,17 @@
         if self.watching or self.fetching:  # at once, as the catalogue reports changes only to a pending call
             self._start_call(now)
         if not is_older:
-            self.actions.append(Tell(roster(catalogue)))
+            self.actions.append(CallResult(to_roster(catalogue)))
 
     def _fail_call(self, now: float, reason: str) -> None:
         """End a failed call and report it; with `backoff`, schedule the next one."""
         self._close_connection()
         if self.backoff is not None:
             self.due = now + self.backoff.next()
-            self.actions.append(Tell(None, reason))
+            self.actions.append(CallResult(None, reason))
             return
         self.watching = self.fetching = False
-        self.actions.append(Tell(Roster((), ListKind.FAILED), reason))
+        self.actions.append(CallResult(Roster((), ListKind.FAILED), reason))
 
     def _close_connection(self) -> None:
         """Close the connection, and forget the call on it."""
--- a/banklift/net/service.py
+++ b/banklift/net/service.py
@@ -163,8 +163,8 @@
     allowed = _require_object(settings.get("allowed") or {}, "settings.allowed")
     try:
         seed = int(str(config.get("seed") or "0"), 16)
-        known = catalogue.convert(config["known"]) if config.get("known") else None
-    except (ValueError, catalogue.BadList) as error:
+        known = catalogue.from_json(config["known"]) if config.get("known") else None
+    except (ValueError, catalogue.CatalogueError) as error:
         raise BadConfig(f"seed or known: {error}") from None
     return Start(
         name=str(config.get("name") or environment["ROUTER_NAME"]),
@@ -207,22 +207,24 @@
 
 
 class DiscoveryHost:
-    """Runs a catalogue client (`client.Client`) on connections of `env`. `tell` gets each new list of members, `log`
-    the failures."""
+    """Runs a catalogue client (`client.CatalogueClient`) on connections of `env`. `tell` gets each new list of members,
+    `log` the failures."""
 
-    def __init__(self, env: Env, core: client.Client, tell: Callable[[ev.Roster], None], log: Log) -> None:
+    def __init__(
+        self, env: Env, core: client.CatalogueClient, tell: Callable[[ev.Roster], None], log: Log
+    ) -> None:
         self.env, self.core, self.tell, self.log = env, core, tell, log
         self.connection: _CatalogueConnection | None = None
         self.performing = False  # guards against recursion, as connections may call back at once
 
     def request_roster(self, watch: bool) -> None:
         """Watch the list of members from now on, or fetch the whole list once if `watch` is false."""
-        self.core.ask(self.env.now(), watch)
+        self.core.request_list(self.env.now(), watch)
         self.perform_actions()
 
     def move(self, address: str) -> None:
         """Use the catalogue at `address` (host:port) from now on."""
-        self.core.move(self.env.now(), address)
+        self.core.use_address(self.env.now(), address)
         self.perform_actions()
 
     def perform_actions(self) -> None:
@@ -242,7 +244,7 @@
                     if self.connection is not None and self.connection.handle is not None:
                         self.connection.handle.close()
                     self.connection = None
-                case client.Tell(roster, reason):
+                case client.CallResult(roster, reason):
                     if reason:
                         self.log("discovery failed", {"reason": reason})
                     if roster is not None:
@@ -333,7 +335,7 @@
             min(MAX_WATCH_RETRY_SECONDS, WATCH_RETRY_DRAIN_FRACTION * start.settings.drain_grace),
         )
         backoff = client.Backoff(MIN_WATCH_RETRY_SECONDS, max_retry, Random(start.seed)) if pushed else None
-        self.core = client.Client(
+        self.core = client.CatalogueClient(
             start.discovery, version=start.known.rev if start.known is not None else None, backoff=backoff
         )
         self.discovery = DiscoveryHost(env, self.core, lambda roster: self.host.tell(roster), self.log)
@@ -341,7 +343,7 @@
             env, self.machine, start.listen, self.log, request_roster=self.discovery.request_roster
         )
         self.host.tell(
-            catalogue.roster(start.known, ListKind.CACHED)
+            catalogue.to_roster(start.known, ListKind.CACHED)
             if start.known is not None
             else ev.Roster((), ListKind.CACHED)
         )
--- a/banklift/proxy/machine.py
+++ b/banklift/proxy/machine.py
@@ -248,7 +248,7 @@
 
     def call_at(self, when: float, callback: Callable[[], None]) -> Timer:
         """Call `callback` at `when`."""
-        return self.timers.at(when, callback)
+        return self.timers.call_at(when, callback)
 
     def log(self, event: str, **fields: object) -> None:
         """Write an event to the router's log."""
--- a/banklift/rig/capacity_members.py
+++ b/banklift/rig/capacity_members.py
@@ -16,7 +16,7 @@
 
 import h11
 
-from banklift.discovery.client import Client, Send, Tell
+from banklift.discovery.client import CallResult, CatalogueClient, Send
 from banklift.pg import frames
 from banklift.pg.front import PgFront
 from banklift.pg.wire import USAGE, PgWire
@@ -86,13 +86,13 @@
         )
         self.groups = max(1, members // GROUP_SIZE)
         self.now = 1_700_000_100.0  # seconds since the Unix epoch, in virtual time
-        self.discovery = Client("10.9.0.1:8500")
+        self.discovery = CatalogueClient("10.9.0.1:8500")
         self.links: dict[int, str] = {}  # addresses of members by link
         self.events: list[tuple[float, int, ev.Event]] = []  # heap of what is to come: time, number, event
         self.event_number = 0  # keeps events of one time in order
         self.requested = 0
         self.served = 0
-        self.discovery.ask(self.now, True)
+        self.discovery.request_list(self.now, True)
         self.discovery.connected(self.now)
         self.call_bytes = self._take_sent_bytes()  # of the last call to discovery
 
@@ -101,7 +101,9 @@
     def _take_sent_bytes(self) -> int:
         """Bytes that the discovery client wants to send; of its actions, only rosters remain."""
         sent = sum(len(action.data) for action in self.discovery.actions if isinstance(action, Send))
-        self.discovery.actions = [action for action in self.discovery.actions if isinstance(action, Tell)]
+        self.discovery.actions = [
+            action for action in self.discovery.actions if isinstance(action, CallResult)
+        ]
         return sent
 
     def receive_list(self, data: bytes) -> float:
@@ -109,10 +111,12 @@
         begin = time.process_time()
         self.discovery.data(self.now, data)
         for action in self.discovery.actions:
-            if isinstance(action, Tell) and action.roster is not None:
+            if isinstance(action, CallResult) and action.roster is not None:
                 self._perform(self.machine.handle(self.now, action.roster))
         spent = time.process_time() - begin
-        self.discovery.actions = [action for action in self.discovery.actions if not isinstance(action, Tell)]
+        self.discovery.actions = [
+            action for action in self.discovery.actions if not isinstance(action, CallResult)
+        ]
         self.call_bytes = self._take_sent_bytes()
         return spent
 
--- a/banklift/rig/capacity_needs.py
+++ b/banklift/rig/capacity_needs.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from banklift.discovery.client import LONG_POLL
+from banklift.discovery.client import LONG_POLL_SECONDS
 from banklift.fleet.holder_table import MAX_HOLDERS
 from banklift.proxy.plan import Limits
 from banklift.rig import capacity_plan as plan
@@ -401,7 +401,7 @@
     delta_bytes = _planned_cost(results, "members.delta.bytes")
     call_bytes = _planned_cost(results, "members.ask.bytes")
     list_bytes = _planned_cost(results, "members.list.bytes")
-    answers_a_second = plan.ROUTERS * max(LIST_CHANGES_A_SECOND, 1.0 / LONG_POLL)
+    answers_a_second = plan.ROUTERS * max(LIST_CHANGES_A_SECOND, 1.0 / LONG_POLL_SECONDS)
     return [
         Need(
             "discovery",
--- a/banklift/rig/capacity_page.py
+++ b/banklift/rig/capacity_page.py
@@ -11,7 +11,7 @@
 import statistics
 from collections.abc import Callable, Sequence
 
-from banklift.discovery.client import CALL_TIMEOUT, LONG_POLL
+from banklift.discovery.client import CALL_TIMEOUT_SECONDS, LONG_POLL_SECONDS
 from banklift.fleet.lease_table import closing_lease
 from banklift.rig import capacity_plan as plan
 from banklift.rig.capacity_needs import (
@@ -496,7 +496,7 @@
     """The time that a change of a group's primary may take, as a sum."""
     delta = results.slope("members.delta")
     read_time = None if delta is None else delta.value
-    max_notification_time = LONG_POLL + CALL_TIMEOUT
+    max_notification_time = LONG_POLL_SECONDS + CALL_TIMEOUT_SECONDS
     remaining = plan.PRIMARY_CHANGE_TIME - max_notification_time - (read_time or 0.0)
     body = [
         ["a long poll is answered as soon as discovery knows", "one way over the network", ""],
--- a/benchmarks/pg_machine.py
+++ b/benchmarks/pg_machine.py
@@ -140,7 +140,7 @@
         size = f", {tracemalloc.get_traced_memory()[0]:,} bytes" if trace else ""
         print(
             f"quarter {quarter + 1}: {cost:.0f} us a request, {held:,} objects{size}, "
-            f"{len(site.machine.timers)} timers, {site.machine.timers.room} places, served {site.served}"
+            f"{len(site.machine.timers)} timers, {site.machine.timers.heap_size} places, served {site.served}"
         )
     print(f"after a full collection: {gc.collect():,} found, {len(gc.get_objects()):,} objects left")
 
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -152,7 +152,7 @@
         self.catalogue = Catalogue(self.world, "10.9.0.1:8500").start()
         for name, node in self.nodes.items():
             self.catalogue.list(name, node.address, writes=node.primary)
-        known = catalogue.convert(self.catalogue.whole())
+        known = catalogue.from_json(self.catalogue.whole())
         self.start = Start(
             "n0",
             "10.1.0.1:6432",
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -6,8 +6,17 @@
 
 import pytest
 
-from banklift.discovery.catalogue import BadList, convert, read
-from banklift.discovery.client import CALL_TIMEOUT, LONG_POLL, Backoff, Client, Close, Connect, Send, Tell
+from banklift.discovery.catalogue import CatalogueError, from_json, parse
+from banklift.discovery.client import (
+    CALL_TIMEOUT_SECONDS,
+    LONG_POLL_SECONDS,
+    Backoff,
+    CallResult,
+    CatalogueClient,
+    Close,
+    Connect,
+    Send,
+)
 from banklift.interface import ListKind, State
 from banklift.proxy.events import Roster
 
@@ -21,33 +30,33 @@
     return b"HTTP/1.1 %b\r\nContent-Length: %d\r\n%b\r\n%b" % (status, len(body), more, body)
 
 
-def watching_client(version: int | None = 41) -> Client:
-    client = Client("10.2.0.1:8500", version=version)
-    client.ask(100.0, True)
+def watching_client(version: int | None = 41) -> CatalogueClient:
+    client = CatalogueClient("10.2.0.1:8500", version=version)
+    client.request_list(100.0, True)
     assert client.actions == [Connect("10.2.0.1:8500")]
     client.actions.clear()
     client.connected(100.0)
     return client
 
 
-def sent_bytes(client: Client) -> bytes:
+def sent_bytes(client: CatalogueClient) -> bytes:
     (action,) = [action for action in client.actions if isinstance(action, Send)]
     client.actions.clear()
     return action.data
 
 
-def reported(client: Client) -> Tell:
-    (action,) = [action for action in client.actions if isinstance(action, Tell)]
+def reported(client: CatalogueClient) -> CallResult:
+    (action,) = [action for action in client.actions if isinstance(action, CallResult)]
     return action
 
 
-def reported_roster(client: Client) -> Roster:
+def reported_roster(client: CatalogueClient) -> Roster:
     roster = reported(client).roster
     assert roster is not None
     return roster
 
 
-def failure_reason(client: Client) -> str:
+def failure_reason(client: CatalogueClient) -> str:
     """The reason of the one failure that is reported to the machine."""
     tell = reported(client)
     assert tell.roster is not None and tell.roster.kind is ListKind.FAILED
@@ -79,8 +88,8 @@
 
 def test_without_a_version_and_for_a_fetch_the_whole_list_is_requested() -> None:
     assert sent_bytes(watching_client(None)).startswith(b"GET /catalog/members HTTP/1.1\r\n")
-    client = Client("10.2.0.1:8500", version=41)
-    client.ask(100.0, False)
+    client = CatalogueClient("10.2.0.1:8500", version=41)
+    client.request_list(100.0, False)
     client.connected(100.0)
     assert sent_bytes(client).startswith(b"GET /catalog/members HTTP/1.1\r\n")
     client.data(100.0, answer(GOOD))
@@ -110,9 +119,9 @@
     client.data(100.1, b"")
     client.lost(100.1, "reset")
     assert failure_reason(client)
-    assert [type(action) for action in client.actions] == [Close, Tell]
+    assert [type(action) for action in client.actions] == [Close, CallResult]
     client.actions.clear()
-    client.ask(101.0, True)  # the client makes no retry itself
+    client.request_list(101.0, True)  # the client makes no retry itself
     assert client.actions == [Connect("10.2.0.1:8500")]
 
 
@@ -122,7 +131,7 @@
     client = watching_client()
     client.actions.clear()
     client.data(100.1, head + GOOD[:cut])
-    assert not any(isinstance(action, Tell) for action in client.actions)
+    assert not any(isinstance(action, CallResult) for action in client.actions)
     client.lost(100.2, "reset")
     assert "reset" in failure_reason(client)
     whole = watching_client()
@@ -140,7 +149,10 @@
     client.actions.clear()
     client.lost(100.0, "reset")
     client.lost(100.0, "reset")
-    assert "reset" in failure_reason(client) and [type(action) for action in client.actions] == [Close, Tell]
+    assert "reset" in failure_reason(client) and [type(action) for action in client.actions] == [
+        Close,
+        CallResult,
+    ]
 
 
 def test_a_silent_watch_is_reopened_at_once_each_time() -> None:
@@ -149,9 +161,9 @@
     client.actions.clear()
     now = 100.0
     for _ in range(4):
-        client.tick(now + LONG_POLL + CALL_TIMEOUT - 0.01)
+        client.tick(now + LONG_POLL_SECONDS + CALL_TIMEOUT_SECONDS - 0.01)
         assert client.actions == []
-        now += LONG_POLL + CALL_TIMEOUT
+        now += LONG_POLL_SECONDS + CALL_TIMEOUT_SECONDS
         client.tick(now)
         assert client.actions[0] == Close() and client.actions[2:] == [Connect("10.2.0.1:8500")]
         assert reported(client).roster is None and "silent" in reported(client).reason
@@ -164,32 +176,32 @@
 def test_a_silent_watch_whose_new_connection_does_not_come_up_fails_in_time() -> None:
     client = watching_client()
     client.actions.clear()
-    silent = 100.0 + LONG_POLL + CALL_TIMEOUT
+    silent = 100.0 + LONG_POLL_SECONDS + CALL_TIMEOUT_SECONDS
     client.tick(silent)
     client.actions.clear()
-    client.tick(silent + CALL_TIMEOUT - 0.01)
+    client.tick(silent + CALL_TIMEOUT_SECONDS - 0.01)
     assert client.actions == []
-    client.tick(silent + CALL_TIMEOUT)
+    client.tick(silent + CALL_TIMEOUT_SECONDS)
     assert "no connection" in failure_reason(client)
 
 
 def test_a_watch_that_answered_after_a_silence_is_reopened_at_the_next_silence() -> None:
     client = watching_client()
-    client.tick(100.0 + LONG_POLL + CALL_TIMEOUT)
+    client.tick(100.0 + LONG_POLL_SECONDS + CALL_TIMEOUT_SECONDS)
     client.connected(105.6)
     client.actions.clear()
     client.data(105.7, answer(GOOD))
     client.actions.clear()
-    client.tick(105.7 + LONG_POLL + CALL_TIMEOUT)
+    client.tick(105.7 + LONG_POLL_SECONDS + CALL_TIMEOUT_SECONDS)
     assert reported(client).roster is None and client.actions[-1] == Connect("10.2.0.1:8500")
 
 
 def test_a_fetch_without_an_answer_times_out() -> None:
-    client = Client("10.2.0.1:8500", version=41)
-    client.ask(100.0, False)
+    client = CatalogueClient("10.2.0.1:8500", version=41)
+    client.request_list(100.0, False)
     client.connected(100.0)
     client.actions.clear()
-    client.tick(100.0 + CALL_TIMEOUT)
+    client.tick(100.0 + CALL_TIMEOUT_SECONDS)
     assert "in time" in failure_reason(client)
 
 
@@ -199,16 +211,16 @@
     data = answer(GOOD)
     client.data(101.0, data[:40])
     client.data(105.0, data[40:50])
-    client.tick(100.0 + LONG_POLL + CALL_TIMEOUT)
+    client.tick(100.0 + LONG_POLL_SECONDS + CALL_TIMEOUT_SECONDS)
     assert reported(client).roster is None and client.actions[-1] == Connect("10.2.0.1:8500")
 
 
 def test_a_connection_that_does_not_come_up_fails_before_a_watch_would() -> None:
-    client = Client("10.2.0.1:8500", version=41)
-    client.ask(100.0, True)
-    client.tick(100.0 + CALL_TIMEOUT - 0.01)
+    client = CatalogueClient("10.2.0.1:8500", version=41)
+    client.request_list(100.0, True)
+    client.tick(100.0 + CALL_TIMEOUT_SECONDS - 0.01)
     client.actions.clear()
-    client.tick(100.0 + CALL_TIMEOUT)
+    client.tick(100.0 + CALL_TIMEOUT_SECONDS)
     assert "no connection" in failure_reason(client)
 
 
@@ -217,7 +229,7 @@
     client.actions.clear()
     changes = GOOD.replace(b'"all":true', b'"all":false').replace(b'"rev":43', b'"rev":7')
     client.data(100.2, answer(changes))
-    assert not any(isinstance(action, Tell) for action in client.actions)
+    assert not any(isinstance(action, CallResult) for action in client.actions)
     assert sent_bytes(client).startswith(b"GET /catalog/members HTTP/1.1\r\n")
     client.data(100.3, answer(GOOD.replace(b'"rev":43', b'"rev":7')))
     tell = reported(client)
@@ -233,8 +245,8 @@
 
 
 def test_with_backoff_a_failed_watch_is_reopened_after_waits_that_double_up_to_a_bound() -> None:
-    client = Client("10.2.0.1:8500", version=41, backoff=Backoff(0.1, 0.5, Random(1)))
-    client.ask(100.0, True)
+    client = CatalogueClient("10.2.0.1:8500", version=41, backoff=Backoff(0.1, 0.5, Random(1)))
+    client.request_list(100.0, True)
     now, waits = 100.0, []
     for _ in range(6):
         client.lost(now, "refused")
@@ -258,26 +270,26 @@
     client = watching_client()
     client.actions.clear()
     client.data(100.1, answer(GOOD, more=b"Connection: close\r\n"))
-    assert [type(action) for action in client.actions] == [Close, Connect, Tell]
+    assert [type(action) for action in client.actions] == [Close, Connect, CallResult]
 
 
 def test_a_catalogue_that_moves_is_asked_at_its_new_address_at_once() -> None:
     client = watching_client()
     client.actions.clear()
-    client.move(100.2, "10.2.0.2:8500")
+    client.use_address(100.2, "10.2.0.2:8500")
     assert client.actions == [Close(), Connect("10.2.0.2:8500")]
     client.connected(100.3)
     assert b"after=41" in sent_bytes(client)
-    client.move(100.4, "10.2.0.2:8500")  # the same address again: the call there may hang
+    client.use_address(100.4, "10.2.0.2:8500")  # the same address again: the call there may hang
     assert client.actions == [Close(), Connect("10.2.0.2:8500")]
 
 
 def test_a_list_with_a_repeated_member_is_rejected_with_the_name() -> None:
     entry = {"uid": "s1", "endpoint": "10.1.0.18:6432", "pod_group": 0, "state": "SERVING"}
-    with pytest.raises(BadList, match="s1 is listed twice"):
-        convert({"rev": 1, "all": True, "targets": [entry, entry]})
-    with pytest.raises(BadList, match="rev"):
-        read(b'{"all": true, "targets": []}')
+    with pytest.raises(CatalogueError, match="s1 is listed twice"):
+        from_json({"rev": 1, "all": True, "targets": [entry, entry]})
+    with pytest.raises(CatalogueError, match="rev"):
+        parse(b'{"all": true, "targets": []}')
 
 
 def test_a_catalogue_that_moves_is_asked_after_a_failure_at_the_old_address() -> None:
@@ -285,13 +297,13 @@
     client = watching_client()
     client.data(100.1, answer(b"", b"503 Service Unavailable"))
     client.actions.clear()
-    client.move(100.2, "10.2.0.2:8500")
+    client.use_address(100.2, "10.2.0.2:8500")
     assert client.actions == [Connect("10.2.0.2:8500")]
 
 
 def test_the_whole_list_is_fetched_after_the_pending_call() -> None:
     client = watching_client()
-    client.ask(100.1, False)
+    client.request_list(100.1, False)
     client.actions.clear()
     client.data(100.2, answer(GOOD))
     assert sent_bytes(client).startswith(b"GET /catalog/members HTTP/1.1\r\n")
--- a/tests/test_many_members.py
+++ b/tests/test_many_members.py
@@ -83,7 +83,7 @@
         fleet.catalogue.list(name, node.address, int(name[2:], 16) % GROUPS)
     fleet.run(1.0)
     check_that_all_groups_are_served(fleet)
-    assert lists.read(json.dumps(fleet.catalogue.whole()).encode()).targets[-1].uid == f"s-{MEMBERS - 1:08x}"
+    assert lists.parse(json.dumps(fleet.catalogue.whole()).encode()).targets[-1].uid == f"s-{MEMBERS - 1:08x}"
 
 
 def test_the_longest_idle_link_is_closed_to_make_room() -> None:
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -12,7 +12,7 @@
 from banklift.config import build
 from banklift.decide.queues import MIN_RETRY_AFTER, Queues
 from banklift.proxy import events as ev
-from banklift.proxy.timers import FEW, Timer, Timers
+from banklift.proxy.timers import MAX_CANCELLED_KEPT, Timer, Timers
 from banklift.resp.frames import command
 from banklift.resp.front import Place, RespFront
 from tests.test_machine import Rig, info
@@ -23,7 +23,7 @@
     timers = Timers()
     ran = list[int]()
     timer_handles = [
-        timers.at(float(when), lambda number=number: ran.append(number))  # type: ignore[misc]
+        timers.call_at(float(when), lambda number=number: ran.append(number))  # type: ignore[misc]
         for number, (when, _) in enumerate(requested)
     ]
     for timer, (_, cancelled) in zip(timer_handles, requested, strict=True):
@@ -42,11 +42,11 @@
 
 def test_cancelled_timers_take_no_room() -> None:
     timers = Timers()
-    kept = timers.at(1e9, lambda: None)
+    kept = timers.call_at(1e9, lambda: None)
     for number in range(10_000):
-        timers.cancel(timers.at(float(number), lambda: None))
-        assert timers.room <= 2 * FEW + 4
-    assert len(timers) == 1 and timers.next == 1e9 and kept.call is not None
+        timers.cancel(timers.call_at(float(number), lambda: None))
+        assert timers.heap_size <= 2 * MAX_CANCELLED_KEPT + 4
+    assert len(timers) == 1 and timers.next == 1e9 and kept.callback is not None
 
 
 def test_a_timer_may_set_and_cancel_others() -> None:
@@ -57,11 +57,11 @@
     def first() -> None:
         ran.append("first")
         timers.cancel(later[0])
-        timers.at(1.0, lambda: ran.append("now"))
-        timers.at(3.0, lambda: ran.append("much later"))
+        timers.call_at(1.0, lambda: ran.append("now"))
+        timers.call_at(3.0, lambda: ran.append("much later"))
 
-    timers.at(1.0, first)
-    later.append(timers.at(2.0, lambda: ran.append("later")))
+    timers.call_at(1.0, first)
+    later.append(timers.call_at(2.0, lambda: ran.append("later")))
     timers.run(2.0)
     assert ran == ["first", "now"]
 
@@ -150,7 +150,7 @@
     assert len(machine.front.clients) == 1  # type: ignore[attr-defined]
     assert not machine.front.places  # type: ignore[attr-defined]
     rig.wait(10.0)
-    assert len(machine.timers) < 20 and machine.timers.room < 2 * FEW + 40
+    assert len(machine.timers) < 20 and machine.timers.heap_size < 2 * MAX_CANCELLED_KEPT + 40
 
 
 def test_an_overdue_request_is_given_up_for_those_behind_it_in_a_pipeline() -> None:
