--- a/banklift/emulator/platform.py
+++ b/banklift/emulator/platform.py
@@ -108,7 +108,7 @@
         self.open = 0  # statements without an answer
         self.asked = 0  # all statements
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         self.handle = handle
         self.node.connections.add(self)
 
@@ -241,7 +241,7 @@
         self.handle: Handle | None = None
         self.buffer = b""
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         self.handle = handle
 
     def data(self, data: bytes) -> None:
--- a/banklift/emulator/shell.py
+++ b/banklift/emulator/shell.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from banklift.emulator.node import UPSTREAM_ID, Act, Node
-from banklift.net.env import Alarm, Env, Handle, Listener, Peer
+from banklift.net.env import DeadlineTimer, Env, Handle, Listener, Peer
 
 Tap = Callable[[float, str, Act], None]  # records what a member does: time, name of the member, action
 
@@ -29,7 +29,9 @@
         self.handles: dict[int, Handle] = {}  # accepted connections by number
         self.upstream: Handle | None = None  # of a replica: its connection to the primary
         self.last_connection_id = UPSTREAM_ID
-        self.alarm = Alarm(env, lambda: node.next_timer_at, lambda: self.do(node.run_timers(env.now())))
+        self.timer = DeadlineTimer(
+            env, lambda: node.next_timer_at, lambda: self.do(node.run_timers(env.now()))
+        )
         self.listener: Listener | None = env.listen(address, lambda: _AcceptedPeer(self))  # None: killed
         self.address = self.listener.address
 
@@ -53,7 +55,7 @@
                 self.upstream = self.env.connect(act.data.decode(), _UpstreamPeer(self))
             elif self.tap is not None:
                 self.tap(now, self.node.name, act)
-        self.alarm.look()
+        self.timer.reschedule()
 
     def _close_upstream(self) -> None:
         if self.upstream is not None:
@@ -92,7 +94,7 @@
         self.host = host
         self.number = 0  # of the connection; 0: not up yet
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         host = self.host
         if host.listener is None:
             handle.close()
@@ -127,7 +129,7 @@
         self.host = host
         self.handle: Handle | None = None
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         self.handle = handle
         if self.host.upstream is handle:
             self.host.do(self.host.node.upstream_connected(self.host.env.now()))
--- a/banklift/emulator/stand.py
+++ b/banklift/emulator/stand.py
@@ -186,14 +186,14 @@
             lambda event, fields: self.log(number, event, fields),
             source(number),
         )
-        host.tell(build.roster(self.stand.config, self.stand.groups(), 0.0))
+        host.handle_event(build.roster(self.stand.config, self.stand.groups(), 0.0))
         return host
 
     def roster(self, stand: Stand) -> None:
         """Pass the roster of the stand to all routers after a delay, which stands for the time to read a file."""
         event = build.roster(stand.config, stand.groups(), 0.0)
         for host in self.hosts:
-            stand.env.at(stand.env.now() + ROSTER_DELAY_SECONDS, lambda host=host: host.tell(event))  # type: ignore[misc]
+            stand.env.at(stand.env.now() + ROSTER_DELAY_SECONDS, lambda host=host: host.handle_event(event))  # type: ignore[misc]
 
     def kill(self, number: int) -> None:
         """End a router as SIGKILL does: it closes its connections and does nothing more."""
--- a/banklift/emulator/world.py
+++ b/banklift/emulator/world.py
@@ -181,8 +181,10 @@
         accepted.other_end = handle
         handle.other_end = accepted
         accepted.last_delivery_at = self.clock + self.latency()
-        self.at(accepted.last_delivery_at, lambda: handle.peer.up(handle) if not handle.closed else None)
-        accepted.peer.up(accepted)
+        self.at(
+            accepted.last_delivery_at, lambda: handle.peer.connected(handle) if not handle.closed else None
+        )
+        accepted.peer.connected(accepted)
 
     def _refuse(self, handle: WorldHandle) -> None:
         if not handle.closed:
--- a/banklift/judge/load.py
+++ b/banklift/judge/load.py
@@ -240,7 +240,7 @@
         if self.up_:
             self._send()
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         self.handle, self.up_ = handle, True
         if self.batch:
             self._send()
--- a/banklift/net/aggregator.py
+++ b/banklift/net/aggregator.py
@@ -53,7 +53,7 @@
 
     with stop_signals() as signals:
         async with running() as run:
-            env = SocketEnv(run.tasks, clock, alone=True)
+            env = SocketEnv(run.tasks, clock, exclusive_loop=True)
             host = FleetHost(
                 env,
                 AggregatorNode(aggregator_plan(file.name, fleet), new_incarnation(), new_seed()),
--- a/banklift/net/daemon.py
+++ b/banklift/net/daemon.py
@@ -42,7 +42,7 @@
         async with running() as run:
             env = SocketEnv(run.tasks, clock)
             router = RouterHost(env, machine, config.listen, log_event, config.source)
-            router.tell(build.roster(config, groups, clock() - time.time()))
+            router.handle_event(build.roster(config, groups, clock() - time.time()))
             fleet_host = None
             if config.fleet is not None:
                 fleet_host = fleet_daemon.join(config, config.fleet, folder, env, router, run, log_event)
@@ -74,5 +74,5 @@
             except ConfigError as error:
                 log.warning("roster refused, the old one stays", reason=str(error))
             else:
-                host.tell(build.roster(config, groups, clock() - time.time()))
+                host.handle_event(build.roster(config, groups, clock() - time.time()))
         await anyio.sleep(ROSTER_POLL_SECONDS)
--- a/banklift/net/env.py
+++ b/banklift/net/env.py
@@ -35,9 +35,9 @@
 
 
 class Peer(Protocol):
-    """Receives the events of one connection: `up` first, `lost` at most once and last."""
+    """Receives the events of one connection: `connected` first, `lost` at most once and last."""
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         """The connection is established; `handle` is this end of it."""
 
     def data(self, data: bytes) -> None:
@@ -53,11 +53,11 @@
     def lost(self, reason: str) -> None:
         """The connection could not be established, or broke."""
 
-    def full(self) -> None:
+    def write_paused(self) -> None:
         """The other end is a slow reader, and much unsent data is held at this end."""
         return
 
-    def free(self) -> None:
+    def write_resumed(self) -> None:
         """The slow reader has read enough for more data to be sent."""
         return
 
@@ -91,9 +91,9 @@
         `peer.lost`."""
 
 
-class Alarm:
-    """A timer for a deadline that changes: calls `callback` once the time `due()` has come. `look` has to be called
-    after anything that may have made `due()` earlier."""
+class DeadlineTimer:
+    """A timer for a deadline that changes: calls `callback` once the time `due()` has come. `reschedule` has to be
+    called after anything that may have made `due()` earlier."""
 
     __slots__ = ("callback", "due", "env", "scheduled_for")
 
@@ -101,7 +101,7 @@
         self.env, self.due, self.callback = env, due, callback
         self.scheduled_for = float("inf")
 
-    def look(self) -> None:
+    def reschedule(self) -> None:
         """Schedule the timer again if `due()` is earlier than before."""
         when = self.due()
         if when < self.scheduled_for:
@@ -114,4 +114,4 @@
         self.scheduled_for = float("inf")
         if self.due() <= self.env.now():
             self.callback()
-        self.look()
+        self.reschedule()
--- a/banklift/net/fleet.py
+++ b/banklift/net/fleet.py
@@ -9,7 +9,7 @@
 from banklift.fleet.holder import EpochAdopted, LeaseExtended
 from banklift.fleet.links import CloseLink, Dial, NameConflict, Write
 from banklift.fleet.member import Action, Member
-from banklift.net.env import Alarm, Env, Handle, Peer
+from banklift.net.env import DeadlineTimer, Env, Handle, Peer
 from banklift.net.router import Log
 
 SaveCallback = Callable[[str], None]  # gets the error of a write; empty if it succeeded
@@ -51,11 +51,11 @@
         self.handles: dict[int, Handle] = {}
         self.dead = False
         self.listener = env.listen(listen, lambda: _LinkPeer(self, 0)) if listen is not None else None
-        self.alarm = Alarm(env, lambda: float("inf") if self.dead else node.due, self._wake)
+        self.timer = DeadlineTimer(env, lambda: float("inf") if self.dead else node.due, self._wake)
 
     def start(self) -> None:
         """Start the node."""
-        self.carry(self.node.start(self.env.now()))
+        self.perform_actions(self.node.start(self.env.now()))
 
     @property
     def address(self) -> str:
@@ -64,9 +64,9 @@
 
     def _wake(self) -> None:
         if not self.dead:
-            self.carry(self.node.wake(self.env.now()))
+            self.perform_actions(self.node.wake(self.env.now()))
 
-    def carry(self, actions: list[Action]) -> None:
+    def perform_actions(self, actions: list[Action]) -> None:
         """Perform the node's actions in order, and schedule its next wake-up."""
         for action in actions:
             match action:
@@ -89,11 +89,11 @@
                     self.on_refused(reason)
                 case LogLine(event, fields):
                     self.log(event, fields)
-        self.alarm.look()
+        self.timer.reschedule()
 
     def _saved(self, number: int, error: str) -> None:
         if not self.dead:
-            self.carry(self.node.saved(self.env.now(), number, error))
+            self.perform_actions(self.node.saved(self.env.now(), number, error))
 
     def leave(self) -> list[Handle]:
         """Graceful shutdown: accept no more requests, release all leases, and do nothing from then on. Returns the
@@ -101,7 +101,7 @@
         if self.dead:
             return []
         actions = self.node.leave(self.env.now())
-        self.carry(actions)
+        self.perform_actions(actions)
         self.dead = True
         numbers = {action.link for action in actions if isinstance(action, Write)}
         notified = [self.handles.pop(number) for number in sorted(numbers) if number in self.handles]
@@ -125,20 +125,20 @@
     def __init__(self, host: FleetHost, link: int) -> None:
         self.host, self.link = host, link
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         host = self.host
         if host.dead:
             handle.close()
         elif self.link:
-            host.carry(host.node.connected(host.env.now(), self.link))
+            host.perform_actions(host.node.connected(host.env.now(), self.link))
         else:
             self.link = host.node.new_link_number()
             host.handles[self.link] = handle
-            host.carry(host.node.accepted(host.env.now(), self.link))
+            host.perform_actions(host.node.accepted(host.env.now(), self.link))
 
     def data(self, data: bytes) -> None:
         if not self.host.dead:
-            self.host.carry(self.host.node.data(self.host.env.now(), self.link, data))
+            self.host.perform_actions(self.host.node.data(self.host.env.now(), self.link, data))
 
     def eof(self) -> None:
         self.lost("closed by the other end")
@@ -147,8 +147,8 @@
         if (handle := self.host.handles.pop(self.link, None)) is not None:
             handle.close()
         if not self.host.dead:
-            self.host.carry(self.host.node.lost(self.host.env.now(), self.link, reason))
+            self.host.perform_actions(self.host.node.lost(self.host.env.now(), self.link, reason))
 
-    def full(self) -> None:
+    def write_paused(self) -> None:
         """Drop the link: the other end does not read, and unsent messages are too old to be useful."""
         self.lost("the other end does not read")
--- a/banklift/net/fleet_daemon.py
+++ b/banklift/net/fleet_daemon.py
@@ -74,12 +74,12 @@
         """Serve requests under the policy `text` from now on."""
         if self.last_decoded is None or self.last_decoded[0] != text:
             self.last_decoded = text, policy.decode(text)
-        self.router.tell(build.adopt(self.config, self.last_decoded[1]))
+        self.router.handle_event(build.adopt(self.config, self.last_decoded[1]))
 
     def extend(self, until: float, retry_after: float) -> None:
         """Accept requests up to the time `until`, on the clock of `Env`. Later ones are refused, with `retry_after` in
         seconds."""
-        self.router.tell(ev.AcceptUntil(until, retry_after))
+        self.router.handle_event(ev.AcceptUntil(until, retry_after))
 
 
 def join(
--- a/banklift/net/router.py
+++ b/banklift/net/router.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Callable
 
-from banklift.net.env import Alarm, Env, Handle, Peer
+from banklift.net.env import DeadlineTimer, Env, Handle, Peer
 from banklift.proxy import events as ev
 from banklift.proxy.machine import Machine
 
@@ -50,7 +50,7 @@
         # events that arrived during a simulated stall; None without one
         self.deferred_calls: list[Callable[[], None]] | None = None
         self._check_for_stall()
-        self.alarm = Alarm(env, self._wake_time, lambda: self.tell(ev.Wake()))
+        self.timer = DeadlineTimer(env, self._wake_time, lambda: self.handle_event(ev.Wake()))
         self.listener = env.listen(address, lambda: _ClientPeer(self))
 
     @property
@@ -61,12 +61,12 @@
     def _wake_time(self) -> float:
         return self.machine.wake if self.deferred_calls is None and not self.dead else math.inf
 
-    def tell(self, event: ev.Event) -> None:
+    def handle_event(self, event: ev.Event) -> None:
         """Pass `event` to the machine and perform the actions that it returns."""
         if self.dead:
             return
         if self.deferred_calls is not None:
-            self.deferred_calls.append(lambda: self.tell(event))
+            self.deferred_calls.append(lambda: self.handle_event(event))
             return
         clients, links = self.clients, self.links
         for action in self.machine.handle(self.env.now(), event):
@@ -95,16 +95,16 @@
                     self.request_roster(watch)
                 case ev.LogEvent(text, fields):
                     self.log(text, fields)
-        self.alarm.look()
+        self.timer.reschedule()
 
     def drain(self, end: float) -> None:
         """Answer each request that arrives from now on by `end`, in seconds on the clock of `env`."""
-        self.tell(ev.Drain(end))
+        self.handle_event(ev.Drain(end))
 
     def leave(self) -> None:
         """Stop listening, and close each connection as soon as no request is pending on it."""
         self.listener.close()
-        self.tell(ev.Stop())
+        self.handle_event(ev.Stop())
 
     def _check_for_stall(self) -> None:
         """Notice that this process was stopped: data that arrives next may have been sent long ago."""
@@ -138,7 +138,7 @@
         calls, self.deferred_calls = self.deferred_calls or [], None
         for call in calls:
             call()
-        self.alarm.look()
+        self.timer.reschedule()
 
     def kill(self) -> None:
         """Simulate SIGKILL, for routers that share a process with a test or simulator: it does nothing from now on."""
@@ -160,11 +160,11 @@
         self.id = 0
         self.delayed_data: list[bytes] | None = None  # data that arrived during a stall; None if none did
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         self.host.last_client_id += 1
         self.id = self.host.last_client_id
         self.host.clients[self.id] = handle
-        self.host.tell(ev.ClientOpened(self.id))
+        self.host.handle_event(ev.ClientOpened(self.id))
 
     def data(self, data: bytes) -> None:
         host = self.host
@@ -176,7 +176,7 @@
             return
         sent_at_earliest = host.earliest_send_time()
         if sent_at_earliest is None:
-            host.tell(ev.ClientData(self.id, data))
+            host.handle_event(ev.ClientData(self.id, data))
             return
         self.delayed_data = [data]
         host.env.at(
@@ -186,7 +186,7 @@
     def _deliver_delayed_data(self, sent_at_earliest: float) -> None:
         delayed_data, self.delayed_data = self.delayed_data, None
         if delayed_data:
-            self.host.tell(ev.ClientData(self.id, b"".join(delayed_data), sent_at_earliest))
+            self.host.handle_event(ev.ClientData(self.id, b"".join(delayed_data), sent_at_earliest))
 
     def eof(self) -> None:
         if self.host.deferred_calls is not None:
@@ -194,16 +194,16 @@
         elif self.delayed_data is not None:  # the client left during the stall, so its request is dropped
             self.lost("closed")
         else:
-            self.host.tell(ev.ClientEof(self.id))
+            self.host.handle_event(ev.ClientEof(self.id))
 
     def half_closed(self) -> None:
-        self.host.tell(ev.ClientHalfClosed(self.id))
+        self.host.handle_event(ev.ClientHalfClosed(self.id))
 
-    def full(self) -> None:
-        self.host.tell(ev.ClientBacklogged(self.id))
+    def write_paused(self) -> None:
+        self.host.handle_event(ev.ClientBacklogged(self.id))
 
-    def free(self) -> None:
-        self.host.tell(ev.ClientDrained(self.id))
+    def write_resumed(self) -> None:
+        self.host.handle_event(ev.ClientDrained(self.id))
 
     def lost(self, reason: str) -> None:
         if self.host.deferred_calls is not None:
@@ -212,7 +212,7 @@
         self.delayed_data = None
         if (handle := self.host.clients.pop(self.id, None)) is not None:
             handle.close()
-            self.host.tell(ev.ClientLost(self.id))
+            self.host.handle_event(ev.ClientLost(self.id))
 
 
 class _LinkPeer(Peer):
@@ -223,11 +223,11 @@
     def __init__(self, host: RouterHost, link: int) -> None:
         self.host, self.id = host, link
 
-    def up(self, handle: Handle) -> None:
-        self.host.tell(ev.LinkUp(self.id))
+    def connected(self, handle: Handle) -> None:
+        self.host.handle_event(ev.LinkUp(self.id))
 
     def data(self, data: bytes) -> None:
-        self.host.tell(ev.LinkData(self.id, data))
+        self.host.handle_event(ev.LinkData(self.id, data))
 
     def eof(self) -> None:
         self.lost("closed by the member")
@@ -235,4 +235,4 @@
     def lost(self, reason: str) -> None:
         if (handle := self.host.links.pop(self.id, None)) is not None:
             handle.close()
-            self.host.tell(ev.LinkLost(self.id, reason))
+            self.host.handle_event(ev.LinkLost(self.id, reason))
--- a/banklift/net/service.py
+++ b/banklift/net/service.py
@@ -9,11 +9,12 @@
 Signals are recorded with the time of their arrival from the first line of `main` on, and they end the wait for sockets.
 The event loop alone would report a signal two or three iterations late, and the platform counts from its arrival.
 
-SIGTERM starts a graceful shutdown. The platform kills the process no earlier than `KILL` seconds plus the longest
-deadline (of which at most `LONGEST` count) after the signal. `ANSWERED_BEFORE_KILL_SECONDS` before the kill all
-requests are answered, also those that arrived after the signal. Meanwhile idle connections are closed one after another
-(pg/front.py), as clients keep a connection for as long as it is open. `CLOSE_BEFORE_KILL_SECONDS` before the kill the
-listener and the remaining connections close, and the program ends once all answers are sent.
+SIGTERM starts a graceful shutdown. The platform kills the process no earlier than `MIN_KILL_DELAY_SECONDS` plus the
+longest deadline (of which at most `MAX_KILL_EXTENSION_SECONDS` count) after the signal. `ANSWERED_BEFORE_KILL_SECONDS`
+before the kill all requests are answered, also those that arrived after the signal. Meanwhile idle connections are
+closed one after another (pg/front.py), as clients keep a connection for as long as it is open.
+`CLOSE_BEFORE_KILL_SECONDS` before the kill the listener and the remaining connections close, and the program ends once
+all answers are sent.
 
 SIGHUP reads the configuration again. A valid one moves discovery to its new address; an invalid one changes nothing and
 is reported in the log.
@@ -43,7 +44,7 @@
 from banklift.interface import ListKind, Settings
 from banklift.net.env import Env, Handle, Peer
 from banklift.net.router import Log, RouterHost
-from banklift.net.sockets import MOST_LINGERING, SocketEnv
+from banklift.net.sockets import MAX_LINGERING_CONNECTIONS, SocketEnv
 from banklift.pg.front import PgFront
 from banklift.pg.wire import PgWire
 from banklift.proxy import events as ev
@@ -51,9 +52,9 @@
 from banklift.proxy.plan import Limits
 
 ENVIRONMENT_VARIABLES = ("ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_CONFIG")
-# The platform sends SIGKILL no earlier than this after SIGTERM: `KILL` seconds, plus the longest deadline of all
-# classes, of which at most `LONGEST` seconds count.
-KILL, LONGEST = 0.7, 3.0
+# The platform sends SIGKILL no earlier than this after SIGTERM: `MIN_KILL_DELAY_SECONDS`, plus the longest deadline of
+# all classes, of which at most `MAX_KILL_EXTENSION_SECONDS` count.
+MIN_KILL_DELAY_SECONDS, MAX_KILL_EXTENSION_SECONDS = 0.7, 3.0
 CLOSE_BEFORE_KILL_SECONDS = 0.5  # from this time before SIGKILL on nothing new is accepted or read
 # All requests are answered this long before SIGKILL. A fraction of a core needs the time to write the answers, as it
 # has as many of them as a whole core.
@@ -70,16 +71,16 @@
 WATCH_RETRY_DRAIN_FRACTION = 0.25
 MAX_WATCH_RETRY_SECONDS = 4.0
 # descriptors for the listener, discovery, logs, the event loop, and connections that are closing
-RESERVED_DESCRIPTORS = 16 + MOST_LINGERING
+RESERVED_DESCRIPTORS = 16 + MAX_LINGERING_CONNECTIONS
 CLIENT_DESCRIPTOR_FRACTION = 0.5  # of the descriptors that are not reserved; links to members have the rest
 
 
-class BadConfig(Exception):
+class ConfigurationError(Exception):
     """The configuration is invalid. The text names the setting and what is wrong with it."""
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
+class StartConfig:
     """A router's configuration on the platform: environment variables and configuration file, checked."""
 
     name: str
@@ -87,16 +88,16 @@
     discovery: str  # the catalogue's host:port
     seed: int  # of random numbers
     sockets: int  # descriptors that the process may hold
-    known: catalogue.Catalogue | None  # a list of members to start with
+    initial_catalogue: catalogue.Catalogue | None  # a list of members to start with
     settings: Settings
-    idle: float  # seconds after which members close an idle link
-    connect: float  # seconds within which a link has to be connected
-    probe: float  # seconds within which a probe has to be answered
+    link_idle_timeout: float  # seconds after which members close an idle link
+    connect_timeout: float  # seconds within which a link has to be connected
+    probe_timeout: float  # seconds within which a probe has to be answered
 
 
 def _require_object(value: object, name: str) -> dict[str, Any]:
     if not isinstance(value, dict):
-        raise BadConfig(f"{name}: an object is needed")
+        raise ConfigurationError(f"{name}: an object is needed")
     return value
 
 
@@ -104,7 +105,7 @@
     text = value if isinstance(value, str) else ""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < 65536:
-        raise BadConfig(f"{name}: host:port is needed, not {value!r}")
+        raise ConfigurationError(f"{name}: host:port is needed, not {value!r}")
     return text
 
 
@@ -113,38 +114,38 @@
     if value is None or (value == 0 and not isinstance(value, bool)):  # absent, or 0 for no limit
         return default
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < 86_400:
-        raise BadConfig(f"settings.allowed.{name}: seconds above 0 are needed, not {value!r}")
+        raise ConfigurationError(f"settings.allowed.{name}: seconds above 0 are needed, not {value!r}")
     return float(value)
 
 
-def read_configuration(environment: dict[str, str]) -> Start:
+def read_configuration(environment: dict[str, str]) -> StartConfig:
     """Read the environment variables and the file that `ROUTER_CONFIG` names.
 
-    Errors: `BadConfig` if a variable is not set, the file can't be read, or a value is invalid.
+    Errors: `ConfigurationError` if a variable is not set, the file can't be read, or a value is invalid.
     """
     for variable in ENVIRONMENT_VARIABLES:
         if not environment.get(variable):
-            raise BadConfig(f"the variable {variable} is not set")
+            raise ConfigurationError(f"the variable {variable} is not set")
     path = environment["ROUTER_CONFIG"]
     try:
         with open(path, "rb") as file:
             data = file.read()
     except OSError as error:
-        raise BadConfig(f"{path}: {error.strerror}") from None
+        raise ConfigurationError(f"{path}: {error.strerror}") from None
     try:
         config = _require_object(msgspec.json.decode(data), path)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise BadConfig(f"{path}: not JSON: {error}") from None
+        raise ConfigurationError(f"{path}: not JSON: {error}") from None
     try:
         return parse(config, environment)
-    except BadConfig as error:
-        raise BadConfig(f"{path}: {error}") from None
+    except ConfigurationError as error:
+        raise ConfigurationError(f"{path}: {error}") from None
 
 
-def parse(config: dict[str, Any], environment: dict[str, str]) -> Start:
+def parse(config: dict[str, Any], environment: dict[str, str]) -> StartConfig:
     """Check the decoded configuration file. Its name and addresses take precedence over the environment's.
 
-    Errors: `BadConfig` if a value is invalid.
+    Errors: `ConfigurationError` if a value is invalid.
     """
 
     def setting_or_variable(name: str, variable: str) -> object:
@@ -154,36 +155,36 @@
     limits = _require_object(config.get("limits") or {}, "limits")
     sockets = 1024 if limits.get("sockets") is None else limits["sockets"]
     if isinstance(sockets, bool) or not isinstance(sockets, int) or sockets < 64:
-        raise BadConfig(f"limits.sockets: a number from 64 is needed, not {sockets!r}")
+        raise ConfigurationError(f"limits.sockets: a number from 64 is needed, not {sockets!r}")
     try:
         parsed = parse_settings(settings)
     except (WireError, KeyError, TypeError, ValueError) as error:
         text = f"lacks {error}" if isinstance(error, KeyError) else str(error)
-        raise BadConfig(f"settings: {text}") from None
+        raise ConfigurationError(f"settings: {text}") from None
     allowed = _require_object(settings.get("allowed") or {}, "settings.allowed")
     try:
         seed = int(str(config.get("seed") or "0"), 16)
         known = catalogue.from_json(config["known"]) if config.get("known") else None
     except (ValueError, catalogue.CatalogueError) as error:
-        raise BadConfig(f"seed or known: {error}") from None
-    return Start(
+        raise ConfigurationError(f"seed or known: {error}") from None
+    return StartConfig(
         name=str(config.get("name") or environment["ROUTER_NAME"]),
         listen=_require_address(setting_or_variable("listen", "ROUTER_LISTEN"), "listen"),
         discovery=_require_address(setting_or_variable("discovery", "ROUTER_DISCOVERY"), "discovery"),
         seed=seed,
         sockets=sockets,
-        known=known,
+        initial_catalogue=known,
         settings=parsed,
-        idle=_optional_seconds(allowed, "conn_idle_s", 30.0),
-        connect=_optional_seconds(allowed, "connect_timeout_s", 0.25),
-        probe=PROBE_TIMEOUT_SECONDS,
+        link_idle_timeout=_optional_seconds(allowed, "conn_idle_s", 30.0),
+        connect_timeout=_optional_seconds(allowed, "connect_timeout_s", 0.25),
+        probe_timeout=PROBE_TIMEOUT_SECONDS,
     )
 
 
-def build_machine(start: Start) -> Machine:
+def build_machine(config: StartConfig) -> Machine:
     """The router's machine for PostgreSQL, with the descriptors divided between clients and links to members."""
-    clients = max(8, int((start.sockets - RESERVED_DESCRIPTORS) * CLIENT_DESCRIPTOR_FRACTION))
-    links = max(8, start.sockets - RESERVED_DESCRIPTORS - clients)
+    clients = max(8, int((config.sockets - RESERVED_DESCRIPTORS) * CLIENT_DESCRIPTOR_FRACTION))
+    links = max(8, config.sockets - RESERVED_DESCRIPTORS - clients)
     limits = Limits(
         clients=clients,
         pipeline=16,
@@ -191,18 +192,18 @@
         all_links=links,
         waiting=1024,
         queue=4096,
-        connect=start.connect,
-        probe=start.probe,
+        connect=config.connect_timeout,
+        probe=config.probe_timeout,
         margin=ANSWER_MARGIN_SECONDS,
-        idle=IDLE_LINK_FRACTION * start.idle,
+        idle=IDLE_LINK_FRACTION * config.link_idle_timeout,
     )
     return Machine(
-        start.settings,
+        config.settings,
         limits,
         0,
-        start.seed,
+        config.seed,
         PgWire(),
-        lambda core: PgFront(core, start.settings, limits, IDLE_CLIENT_TIMEOUT_SECONDS),
+        lambda core: PgFront(core, config.settings, limits, IDLE_CLIENT_TIMEOUT_SECONDS),
     )
 
 
@@ -222,7 +223,7 @@
         self.core.request_list(self.env.now(), watch)
         self.perform_actions()
 
-    def move(self, address: str) -> None:
+    def change_address(self, address: str) -> None:
         """Use the catalogue at `address` (host:port) from now on."""
         self.core.use_address(self.env.now(), address)
         self.perform_actions()
@@ -267,7 +268,7 @@
         self.owner = owner
         self.handle: Handle | None = None
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         if self.owner.connection is self:
             self.owner.core.connected(self.owner.env.now())
             self.owner.perform_actions()
@@ -296,9 +297,10 @@
         self.clock = clock
         self.received: deque[tuple[int, float]] = deque()
         self.on_signal: Callable[[int, float], None] | None = None
-        self.wake, wakeup_writer = socket.socketpair()  # the interpreter writes a byte for each signal
+        # the interpreter writes a byte for each signal
+        self.wakeup_reader, wakeup_writer = socket.socketpair()
         self.wakeup_writer = wakeup_writer
-        for end in (self.wake, wakeup_writer):
+        for end in (self.wakeup_reader, wakeup_writer):
             end.setblocking(False)
         signal.set_wakeup_fd(wakeup_writer.fileno(), warn_on_full_buffer=False)
         for number in self.NUMBERS:
@@ -307,13 +309,13 @@
     def listen(self, env: SocketEnv, on_signal: Callable[[int, float], None]) -> None:
         """Call `on_signal` with the number and arrival time of each signal; `env` waits for them."""
         self.on_signal = on_signal
-        env.watch(self.wake.fileno(), self)
-        self.ready(0)
+        env.watch(self.wakeup_reader.fileno(), self)
+        self.handle_events(0)
 
-    def ready(self, events: int) -> None:
+    def handle_events(self, events: int) -> None:
         """Deliver the recorded signals."""
         with contextlib.suppress(BlockingIOError):
-            self.wake.recv(4096)
+            self.wakeup_reader.recv(4096)
         while self.received and self.on_signal is not None:
             self.on_signal(*self.received.popleft())
 
@@ -324,34 +326,38 @@
     `environment`: variables to read the configuration with again. Errors: `OSError` if the address can't be bound.
     """
 
-    def __init__(self, env: SocketEnv, start: Start, environment: dict[str, str], log: Log) -> None:
-        self.env, self.start, self.environment, self.log = env, start, environment, log
+    def __init__(self, env: SocketEnv, config: StartConfig, environment: dict[str, str], log: Log) -> None:
+        self.env, self.config, self.environment, self.log = env, config, environment, log
         self.shutting_down = False
-        self.machine = build_machine(start)
+        self.machine = build_machine(config)
         # where lists are pushed, the balancer asks for none, so the service keeps a watch open
-        pushed = not start.settings.must_ask
+        pushed = not config.settings.must_ask
         max_retry = max(
             MIN_WATCH_RETRY_SECONDS,
-            min(MAX_WATCH_RETRY_SECONDS, WATCH_RETRY_DRAIN_FRACTION * start.settings.drain_grace),
+            min(MAX_WATCH_RETRY_SECONDS, WATCH_RETRY_DRAIN_FRACTION * config.settings.drain_grace),
         )
-        backoff = client.Backoff(MIN_WATCH_RETRY_SECONDS, max_retry, Random(start.seed)) if pushed else None
-        self.core = client.CatalogueClient(
-            start.discovery, version=start.known.rev if start.known is not None else None, backoff=backoff
+        backoff = client.Backoff(MIN_WATCH_RETRY_SECONDS, max_retry, Random(config.seed)) if pushed else None
+        self.catalogue_client = client.CatalogueClient(
+            config.discovery,
+            version=config.initial_catalogue.rev if config.initial_catalogue is not None else None,
+            backoff=backoff,
+        )
+        self.discovery = DiscoveryHost(
+            env, self.catalogue_client, lambda roster: self.host.handle_event(roster), self.log
         )
-        self.discovery = DiscoveryHost(env, self.core, lambda roster: self.host.tell(roster), self.log)
         self.host = RouterHost(
-            env, self.machine, start.listen, self.log, request_roster=self.discovery.request_roster
+            env, self.machine, config.listen, self.log, request_roster=self.discovery.request_roster
         )
-        self.host.tell(
-            catalogue.to_roster(start.known, ListKind.CACHED)
-            if start.known is not None
+        self.host.handle_event(
+            catalogue.to_roster(config.initial_catalogue, ListKind.CACHED)
+            if config.initial_catalogue is not None
             else ev.Roster((), ListKind.CACHED)
         )
         if pushed:
             self.discovery.request_roster(True)
         self.log("listening", {"address": self.host.address})
 
-    def signalled(self, number: int, at: float) -> None:
+    def handle_signal(self, number: int, at: float) -> None:
         """Handle a signal: SIGHUP reads the configuration again, others start a graceful shutdown. `at`: its arrival in
         seconds on the clock of `env`."""
         if number == signal.SIGHUP:
@@ -363,17 +369,20 @@
     def _reload_configuration(self) -> None:
         try:
             reloaded = read_configuration(self.environment)
-        except BadConfig as error:
+        except ConfigurationError as error:
             self.log("configuration refused, the old one stays", {"reason": str(error)})
         else:
             self.log("configuration read again", {"discovery": reloaded.discovery})
-            self.discovery.move(reloaded.discovery)
+            self.discovery.change_address(reloaded.discovery)
 
     def _begin_shutdown(self, name: str, at: float) -> None:
         kill = (
             at
-            + KILL
-            + min(LONGEST, max(request_class.deadline for request_class in self.start.settings.classes))
+            + MIN_KILL_DELAY_SECONDS
+            + min(
+                MAX_KILL_EXTENSION_SECONDS,
+                max(request_class.deadline for request_class in self.config.settings.classes),
+            )
         )
         self.log(
             "leaving", {"signal": name, "after": round(self.env.now() - at, 3), "until": round(kill - at, 3)}
@@ -395,22 +404,22 @@
         self.env.stop()
 
 
-async def serve(start: Start, environment: dict[str, str], signals: Signals) -> None:
+async def serve(config: StartConfig, environment: dict[str, str], signals: Signals) -> None:
     """Run until SIGTERM or SIGINT, and then until all accepted requests are answered.
 
     Errors: `OSError` if the address can't be bound.
     """
 
     def log(event: str, fields: dict[str, object]) -> None:
-        logging.info(msgspec.json.encode({"router": start.name, "event": event, **fields}).decode())
+        logging.info(msgspec.json.encode({"router": config.name, "event": event, **fields}).decode())
 
     async with anyio.create_task_group() as tasks:
-        env = SocketEnv(tasks, signals.clock, alone=True)
-        service = Service(env, start, environment, log)
+        env = SocketEnv(tasks, signals.clock, exclusive_loop=True)
+        service = Service(env, config, environment, log)
         gc.collect()  # objects of the start live as long as the process, and requests leave no cycles behind
         gc.freeze()
         gc.set_threshold(2_000, 5, 5)  # few objects are not frozen, so even a full collection is cheap
-        signals.listen(env, service.signalled)
+        signals.listen(env, service.handle_signal)
 
 
 def main() -> int:
@@ -421,17 +430,17 @@
     signals = Signals(lambda: time.monotonic() + clock_offset)
     environment = dict(os.environ)
     try:
-        start = read_configuration(environment)
-    except BadConfig as error:
+        config = read_configuration(environment)
+    except ConfigurationError as error:
         print(f"banklift: {error}", file=sys.stderr)
         return 2
     try:
-        anyio.run(serve, start, environment, signals)
+        anyio.run(serve, config, environment, signals)
     except BaseExceptionGroup as group:
         listen_errors = group.subgroup(OSError)
         if listen_errors is None:
             raise
-        print(f"banklift: listen: {start.listen}: {listen_errors.exceptions[0]}", file=sys.stderr)
+        print(f"banklift: listen: {config.listen}: {listen_errors.exceptions[0]}", file=sys.stderr)
         return 2
     return 0
 
--- a/banklift/net/sockets.py
+++ b/banklift/net/sockets.py
@@ -7,9 +7,9 @@
 the next event, for at most half a millisecond at a time and five milliseconds in all. A second task runs the timers.
 docs/router.md has the measurements behind this design.
 
-With `alone`, nothing else needs the event loop. One task then waits in the epoll object itself until the next timer is
-due, and yields to the event loop, which handles signals, only every `EVENT_LOOP_INTERVAL_SECONDS`. System calls are the
-largest cost here, and a wait that goes through the event loop takes five of them.
+With `exclusive_loop`, nothing else needs the event loop. One task then waits in the epoll object itself until the next
+timer is due, and yields to the event loop, which handles signals, only every `EVENT_LOOP_INTERVAL_SECONDS`. System
+calls are the largest cost here, and a wait that goes through the event loop takes five of them.
 
 When the other end of an accepted connection has closed its side, or is gone, the peer is told in each batch before all
 other events, even if reading is paused and before data that is still unread. No request may be started for a client
@@ -55,12 +55,13 @@
 # longest poll for the next event before the task returns to the event loop, which costs a fifth of this time
 BUSY_POLL_SECONDS = 0.0005
 TIME_SLICE_SECONDS = 0.005  # time after which the task that serves the sockets yields to other tasks
-EVENT_LOOP_INTERVAL_SECONDS = 0.05  # with `alone`: longest time between two turns of the event loop
+EVENT_LOOP_INTERVAL_SECONDS = 0.05  # with `exclusive_loop`: longest time between two turns of the event loop
 LINGERING_CLOSE_SECONDS = 0.5  # time for the other end to close a finished connection on which all was sent
 # time for the other end to read the unsent bytes of a finished connection; clients give up on answers earlier
 SLOW_READER_CLOSE_SECONDS = 3.0
 DISCARD_LIMIT_BYTES = 256 * 1024  # input of a finished connection that is read and discarded
-MOST_LINGERING = 32  # finished connections that wait for the other end; bounded, as each holds a descriptor
+# finished connections that wait for the other end; bounded, as each holds a descriptor
+MAX_LINGERING_CONNECTIONS = 32
 TIMER_RESOLUTION_SECONDS = 0.001  # timers may be this late, so that several of them run in one wake-up
 # Linux socket option: the local port is chosen at connect, so that many connections can share a source address
 IP_BIND_ADDRESS_NO_PORT = 24
@@ -73,7 +74,7 @@
 class EventHandler(Protocol):
     """Handles the events of one descriptor that is registered with the epoll object."""
 
-    def ready(self, events: int) -> None:
+    def handle_events(self, events: int) -> None:
         """Handle `events`, a mask of epoll events."""
 
 
@@ -175,7 +176,7 @@
         self._unsent += data
         if len(self._unsent) > HIGH_WATER_BYTES and not self._is_slow_reader and not self._is_finished:
             self._is_slow_reader = True
-            self.peer.full()
+            self.peer.write_paused()
 
     def finish(self, discard_input: bool = False) -> None:
         """End the connection by a lingering close. `discard_input`: read and discard up to `DISCARD_LIMIT_BYTES`
@@ -236,7 +237,7 @@
             if not self._is_finished:
                 self.peer.lost(reason)
 
-    def ready(self, events: int) -> None:
+    def handle_events(self, events: int) -> None:
         """Handle epoll events of the socket."""
         if self._is_connecting:
             code = self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
@@ -245,7 +246,7 @@
                 return
             self._is_connecting = False
             self._set_events(READABLE | (WRITABLE if self._unsent else 0))
-            self.peer.up(self)
+            self.peer.connected(self)
             return
         if events & WRITABLE:
             self._send_unsent()
@@ -294,7 +295,7 @@
             return
         if self._is_slow_reader and len(self._unsent) <= HIGH_WATER_BYTES // 2:
             self._is_slow_reader = False
-            self.peer.free()
+            self.peer.write_resumed()
         if not self._unsent and not self.closed:
             self._set_events(self._events & ~WRITABLE)
             if self._is_finished and not self._queued:
@@ -346,7 +347,7 @@
             self._env.by_fd[self._fd] = self
             self._env.epoll.register(self._fd, READABLE)
 
-    def ready(self, events: int) -> None:
+    def handle_events(self, events: int) -> None:
         """Accept waiting connections, at most `MAX_SOCKETS_PER_BATCH`."""
         for _ in range(MAX_SOCKETS_PER_BATCH):
             if not self._accept_one():
@@ -372,7 +373,7 @@
             handle = SocketHandle(self._env, self._create_peer(), sock, False)
             self._env.handles.add(handle)
             handle._set_events(handle._read_events())
-            handle.peer.up(handle)
+            handle.peer.connected(handle)
             return True
 
     def close(self) -> None:
@@ -392,8 +393,8 @@
     """Sockets and timers on an epoll object. Implements `Env`.
 
     `tasks` owns every connection and timer; cancelling it closes them all. `clock` returns seconds. `busy_poll` is the
-    time in seconds for which the next event is polled for before the task returns to the event loop. `alone` says that
-    nothing but signals needs the event loop, so that one task can wait in the epoll object itself.
+    time in seconds for which the next event is polled for before the task returns to the event loop. `exclusive_loop`
+    says that nothing but signals needs the event loop, so that one task can wait in the epoll object itself.
     """
 
     def __init__(
@@ -401,7 +402,7 @@
         tasks: TaskGroup,
         clock: Callable[[], float] = time.monotonic,
         busy_poll: float = BUSY_POLL_SECONDS,
-        alone: bool = False,
+        exclusive_loop: bool = False,
     ) -> None:
         self.now = clock
         self.busy_poll = busy_poll
@@ -419,7 +420,7 @@
         self._timer_count = 0  # orders timers of one time by their creation
         self._sleeping_until = -math.inf
         self._earlier_timer_added = anyio.Event()
-        if alone:
+        if exclusive_loop:
             tasks.start_soon(self._serve_in_one_task)
         else:
             tasks.start_soon(self._serve)
@@ -477,7 +478,7 @@
         others = [one for one in found if not one[1] & HALF_CLOSED]
         for fd, events, handler in half_closed + others[:MAX_SOCKETS_PER_BATCH]:
             if handler is not None and by_fd.get(fd) is handler:
-                handler.ready(events)
+                handler.handle_events(events)
                 if self.queued_bytes > HIGH_WATER_BYTES:
                     self._flush(True)
 
@@ -489,23 +490,23 @@
         self.epoll.close()
 
     def stop(self) -> None:
-        """End the task that serves all sockets, and with it all connections. Only with `alone`."""
+        """End the task that serves all sockets, and with it all connections. Only with `exclusive_loop`."""
         self.stopping = True
 
     def watch(self, fd: int, reader: EventHandler) -> None:
-        """Call `reader.ready` whenever `fd` is readable. The caller still owns `fd`."""
+        """Call `reader.handle_events` whenever `fd` is readable. The caller still owns `fd`."""
         self.by_fd[fd] = reader
         self.epoll.register(fd, READABLE)
 
     def linger(self, handle: SocketHandle, seconds: float) -> bool:
         """Close a finished connection after `seconds` at the latest.
 
-        Where `MOST_LINGERING` are waiting already, one of them is closed first: the oldest with all sent, else the
-        oldest of all. Returns False, and does nothing, where that one is `handle` itself: it has no unsent bytes, and
-        all the others have; the caller closes it.
+        Where `MAX_LINGERING_CONNECTIONS` are waiting already, one of them is closed first: the oldest with all sent,
+        else the oldest of all. Returns False, and does nothing, where that one is `handle` itself: it has no unsent
+        bytes, and all the others have; the caller closes it.
         """
         self.lingering.pop(handle, None)
-        while len(self.lingering) >= MOST_LINGERING:
+        while len(self.lingering) >= MAX_LINGERING_CONNECTIONS:
             fallback = handle if handle.all_sent else next(iter(self.lingering))
             evicted = next((one for one in self.lingering if one.all_sent), fallback)
             if evicted is handle:
--- a/banklift/rig/clients.py
+++ b/banklift/rig/clients.py
@@ -81,7 +81,7 @@
     def __init__(self, client: Client) -> None:
         self.client = client
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         self.client.handle = handle
 
     def data(self, data: bytes) -> None:
--- a/banklift/rig/counting_env.py
+++ b/banklift/rig/counting_env.py
@@ -69,9 +69,9 @@
         self.peer = peer
         self.traffic = traffic
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         """Pass the event on with a handle that counts what is sent."""
-        self.peer.up(CountingHandle(handle, self.traffic))
+        self.peer.connected(CountingHandle(handle, self.traffic))
 
     def data(self, data: bytes) -> None:
         """Count the bytes and pass them on."""
@@ -90,10 +90,10 @@
         """Pass the event on."""
         self.peer.lost(reason)
 
-    def full(self) -> None:
+    def write_paused(self) -> None:
         """Pass the event on."""
-        self.peer.full()
+        self.peer.write_paused()
 
-    def free(self) -> None:
+    def write_resumed(self) -> None:
         """Pass the event on."""
-        self.peer.free()
+        self.peer.write_resumed()
--- a/banklift/rig/hollow.py
+++ b/banklift/rig/hollow.py
@@ -269,7 +269,7 @@
 
     # ---- commands
 
-    def ready(self, events: int) -> None:
+    def handle_events(self, events: int) -> None:
         """Standard input can be read: execute the commands that are complete."""
         try:
             data = os.read(STDIN_FD, MAX_READ_BYTES)
@@ -331,7 +331,7 @@
     async with anyio.create_task_group() as tasks:
         # A voter writes to disk in a thread, and the event loop has to run for the outcome to arrive. The other kinds
         # need no event loop, so their connections are served in epoll alone.
-        env = SocketEnv(tasks, time.monotonic, alone=spec.kind is not Kind.VOTER)
+        env = SocketEnv(tasks, time.monotonic, exclusive_loop=spec.kind is not Kind.VOTER)
 
         def end() -> None:
             env.stop()
--- a/banklift/rig/node_env.py
+++ b/banklift/rig/node_env.py
@@ -104,9 +104,9 @@
     def __init__(self, env: NodeEnv, peer: Peer, tap: Callable[[str, bytes], None] | None = None) -> None:
         self.env, self.peer, self.tap = env, peer, tap
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         tapped = handle if self.tap is None else _TappedHandle(handle, self.tap)
-        self.env.deliver(lambda: self.peer.up(tapped))
+        self.env.deliver(lambda: self.peer.connected(tapped))
 
     def data(self, data: bytes) -> None:
         self.env.deliver(lambda: self.peer.data(data))
@@ -120,8 +120,8 @@
     def lost(self, reason: str) -> None:
         self.env.deliver(lambda: self.peer.lost(reason))
 
-    def full(self) -> None:
-        self.env.deliver(self.peer.full)
+    def write_paused(self) -> None:
+        self.env.deliver(self.peer.write_paused)
 
-    def free(self) -> None:
-        self.env.deliver(self.peer.free)
+    def write_resumed(self) -> None:
+        self.env.deliver(self.peer.write_resumed)
--- a/banklift/rig/operator.py
+++ b/banklift/rig/operator.py
@@ -27,7 +27,7 @@
         self.fleet, self.message, self.told = fleet, message, told
         self.frames, self.over = FrameDecoder(), False
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         self.handle = handle
         hello = Hello(PROTOCOL_VERSION, self.fleet, "", 0, (), 0.0, role=Role.OPERATOR)
         handle.send(encode(hello) + encode(self.message))
--- a/banklift/rig/relay.py
+++ b/banklift/rig/relay.py
@@ -190,7 +190,7 @@
     def __init__(self, pair: _Pair) -> None:
         self.pair = pair
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         pair = self.pair
         pair.near = handle
         if pair.relay.refusing:
@@ -215,7 +215,7 @@
     def __init__(self, pair: _Pair) -> None:
         self.pair = pair
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         self.pair.up = True
 
     def data(self, data: bytes) -> None:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -27,16 +27,16 @@
 
     def __init__(self) -> None:
         self.messages = self.bytes = 0
-        real = shell.FleetHost.carry
+        real = shell.FleetHost.perform_actions
 
-        def carry(host: shell.FleetHost, actions: list[Action]) -> None:
+        def perform_actions(host: shell.FleetHost, actions: list[Action]) -> None:
             for action in actions:
                 if isinstance(action, Write):
                     self.messages += 1
                     self.bytes += len(action.data)
             real(host, actions)
 
-        shell.FleetHost.carry = carry  # type: ignore[method-assign]
+        shell.FleetHost.perform_actions = perform_actions  # type: ignore[method-assign]
 
 
 def started(seed: int, routers: int, voters: int, lease: float) -> FleetWorld:
--- a/benchmarks/service.py
+++ b/benchmarks/service.py
@@ -91,7 +91,7 @@
         self.busy = False
         self.sent = 0.0
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         self.handle = handle
 
     def ask(self, text: bytes, first: bool) -> None:
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -53,7 +53,7 @@
     async with anyio.create_task_group() as tasks:
         machine = build.machine(config, 1)
         host = RouterHost(SocketEnv(tasks), machine, "127.0.0.1:0", lambda event, fields: None)
-        host.tell(build.roster(config, config.groups, 0.0))
+        host.handle_event(build.roster(config, config.groups, 0.0))
         profiler = cProfile.Profile()
         loader, pipe = relay.start(
             relay.load, int(host.address.rpartition(":")[2]), given.clients, given.pipeline, given.seconds
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -11,7 +11,7 @@
 from banklift.emulator.platform import Catalogue, PgNode
 from banklift.emulator.world import World
 from banklift.net.env import Handle, Peer
-from banklift.net.service import Service, Start
+from banklift.net.service import Service, StartConfig
 from banklift.net.sockets import SocketEnv
 from banklift.pg import frames
 from banklift.pg.front import PgFront
@@ -94,7 +94,7 @@
             self.say(frames.startup("backend", "store"))
             assert [kind for kind, _ in self.told()][-1] == "Z"
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         pass
 
     def data(self, data: bytes) -> None:
@@ -153,7 +153,7 @@
         for name, node in self.nodes.items():
             self.catalogue.list(name, node.address, writes=node.primary)
         known = catalogue.from_json(self.catalogue.whole())
-        self.start = Start(
+        self.start = StartConfig(
             "n0",
             "10.1.0.1:6432",
             self.catalogue.address,
@@ -168,7 +168,7 @@
         self.notes: list[tuple[str, dict[str, object]]] = []
         self.service = Service(cast(SocketEnv, self.world), self.start, {}, self.note)
         self.machine, self.host = self.service.machine, self.service.host
-        self.core, self.discovery = self.service.core, self.service.discovery
+        self.core, self.discovery = self.service.catalogue_client, self.service.discovery
         assert isinstance(self.machine.front, PgFront)
         self.front = self.machine.front
         self.run(0.05)
--- a/tests/surroundings.py
+++ b/tests/surroundings.py
@@ -21,7 +21,7 @@
 
     async def play() -> None:
         async with anyio.create_task_group() as tasks:
-            env = SocketEnv(tasks, alone=alone)
+            env = SocketEnv(tasks, exclusive_loop=alone)
             over, end = act(env), env.now() + PATIENCE
 
             def look() -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -15,7 +15,7 @@
 import pytest
 
 from banklift.net.env import Handle, Peer
-from banklift.net.sockets import MOST_LINGERING, SocketEnv
+from banklift.net.sockets import MAX_LINGERING_CONNECTIONS, SocketEnv
 from tests.surroundings import PATIENCE, pair, run
 from tests.test_service import Platform, platform
 
@@ -30,7 +30,7 @@
         self.on_data = on_data
         self.notes: list[str] = []
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         self.handle = handle
         self.notes.append("up")
 
@@ -210,10 +210,11 @@
 def test_an_unread_answer_survives_many_connections_that_finish_with_everything_sent() -> None:
     """The limit of lingering connections must not cut off one whose answer is unsent.
 
-    Twice `MOST_LINGERING` connections finish with everything sent, and one with more than the kernel buffers.
+    Twice `MAX_LINGERING_CONNECTIONS` connections finish with everything sent, and one with more than the kernel
+    buffers.
     """
     large = 8 * 1024 * 1024
-    slow, others = RecordingPeer(), [RecordingPeer() for _ in range(2 * MOST_LINGERING)]
+    slow, others = RecordingPeer(), [RecordingPeer() for _ in range(2 * MAX_LINGERING_CONNECTIONS)]
     callers: list[socket.socket] = []
 
     def act(env: SocketEnv) -> Callable[[], bool]:
@@ -232,7 +233,7 @@
         callers[0].setblocking(False)
 
         def is_done() -> bool:
-            if len(env.lingering) < MOST_LINGERING and not read:
+            if len(env.lingering) < MAX_LINGERING_CONNECTIONS and not read:
                 return False
             try:
                 while data := callers[0].recv(1 << 20):
--- a/tests/test_fleet_daemon.py
+++ b/tests/test_fleet_daemon.py
@@ -160,7 +160,7 @@
     )
     host.start()
     for name in ("v0", "v1"):  # the link to v2 never comes up
-        env.peers[name].up(env.handles[name])
+        env.peers[name].connected(env.handles[name])
         env.peers[name].data(encode(Hello(PROTOCOL_VERSION, "game", name, 1, plan.voters, 9.0, 0.0)))
     env.notes.clear()
     told = host.leave()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -12,7 +12,7 @@
 import pytest
 
 from banklift.emulator.world import World
-from banklift.net.service import KILL, LONGEST, Signals
+from banklift.net.service import MAX_KILL_EXTENSION_SECONDS, MIN_KILL_DELAY_SECONDS, Signals
 from banklift.pg import frames
 from tests.platform_site import SETTINGS, Caller, Site, code, value
 
@@ -47,8 +47,9 @@
     signals.listen(cast(Any, Env()), lambda number, at: told.append((number, at)))
     assert told == [(signal.SIGHUP, 5.0), (signal.SIGTERM, 7.0)]
     os.kill(os.getpid(), signal.SIGTERM)
-    assert signals.wake.recv(10) and watched == [signals.wake.fileno()]  # the byte wakes the wait for sockets
-    signals.ready(0)
+    # the byte wakes the wait for sockets
+    assert signals.wakeup_reader.recv(10) and watched == [signals.wakeup_reader.fileno()]
+    signals.handle_events(0)
     assert told[2:] == [(signal.SIGTERM, 9.0)]
 
 
@@ -78,7 +79,7 @@
     silent, fresh = Caller(site), Caller(site)
     signalled_at = world.now()
     site.run(late)
-    site.service.signalled(signal.SIGTERM, signalled_at)
+    site.service.handle_signal(signal.SIGTERM, signalled_at)
     site.nodes["p"].answers.extend([lambda node, statement: None] * 2)
     site.run(1.41 - late)
     silent.say(frames.query(site.write().encode()))
@@ -86,13 +87,13 @@
     half = Caller(site, start=False)
     half.say(frames.startup("backend", "store")[:5])
     # 0.2 s are left to write everything, on a share of a core
-    site.run(signalled_at + KILL + DEADLINE - 0.2 - world.now())
+    site.run(signalled_at + MIN_KILL_DELAY_SECONDS + DEADLINE - 0.2 - world.now())
     assert code(silent.told()) == "40003"
     assert [kind for kind, _ in fresh.told()] == ["T", "D", "C", "Z"]
     assert not site.machine.pending
     site.run(0.2)
     assert half.ended and silent.ended and fresh.ended
-    assert 0 < world.ended <= signalled_at + KILL + DEADLINE
+    assert 0 < world.ended <= signalled_at + MIN_KILL_DELAY_SECONDS + DEADLINE
 
 
 class SlowWorld(ServiceWorld):
@@ -126,14 +127,14 @@
         caller.handle.send(frames.query((site.write() if index % 2 else site.read("view", "k")).encode()))
     site.run(0.1)
     signalled_at = world.now()
-    site.service.signalled(signal.SIGTERM, signalled_at)
+    site.service.handle_signal(signal.SIGTERM, signalled_at)
     site.run(0.65)
     late = Caller(site, start=False)
     late.say(frames.startup("backend", "store") + frames.query(site.write().encode()), 0.0)
     half = Caller(site, start=False)
     half.say(frames.startup("backend", "store") + frames.query(site.write().encode())[:40], 0.0)
-    site.run(signalled_at + KILL + DEADLINE - world.now())
-    assert not site.machine.pending and 0 < world.ended <= signalled_at + KILL + DEADLINE
+    site.run(signalled_at + MIN_KILL_DELAY_SECONDS + DEADLINE - world.now())
+    assert not site.machine.pending and 0 < world.ended <= signalled_at + MIN_KILL_DELAY_SECONDS + DEADLINE
     for caller in waiting:
         assert [kind for kind, _ in caller.told()] == ["E", "Z"] and caller.ended  # the nodes never answer
     assert [kind for kind, _ in late.told()][-2:] in (["C", "Z"], ["E", "Z"])
@@ -172,11 +173,13 @@
             node.stop()  # no member can be reached, so the request waits in the router
     caller.say(frames.query(site.read("report", "k", patience=8000).encode()), 0.5)
     signalled_at = world.now()
-    site.service.signalled(signal.SIGTERM, signalled_at)
-    site.run(KILL + LONGEST - 0.2)
+    site.service.handle_signal(signal.SIGTERM, signalled_at)
+    site.run(MIN_KILL_DELAY_SECONDS + MAX_KILL_EXTENSION_SECONDS - 0.2)
     assert code(caller.told()) == "53300" and not site.machine.pending
     site.run(0.2)
-    assert caller.ended and 0 < world.ended <= signalled_at + KILL + LONGEST
+    assert (
+        caller.ended and 0 < world.ended <= signalled_at + MIN_KILL_DELAY_SECONDS + MAX_KILL_EXTENSION_SECONDS
+    )
 
 
 def test_idle_connections_are_closed_gradually_and_those_without_a_request_last() -> None:
@@ -186,9 +189,9 @@
     for caller in callers:
         caller.ask(site.read("any", "k"))
     signalled_at = world.now()
-    site.service.signalled(signal.SIGTERM, signalled_at)
+    site.service.handle_signal(signal.SIGTERM, signalled_at)
     left = []
-    while world.now() < signalled_at + KILL + DEADLINE - 0.6:
+    while world.now() < signalled_at + MIN_KILL_DELAY_SECONDS + DEADLINE - 0.6:
         site.run(0.1)
         left.append(sum(not caller.ended for caller in callers))
         if len(left) == 10:
--- a/tests/test_many_members.py
+++ b/tests/test_many_members.py
@@ -9,7 +9,7 @@
 from banklift.discovery import catalogue as lists
 from banklift.emulator.platform import Catalogue, PgNode
 from banklift.emulator.world import World
-from banklift.net.service import Service, Start, parse
+from banklift.net.service import Service, StartConfig, parse
 from banklift.net.sockets import SocketEnv
 from tests.platform_site import SETTINGS, Caller, Site, value
 
@@ -43,13 +43,13 @@
             "seed": "5",
             "known": json.loads(json.dumps(listing)) if known else None,
         }
-        self.start: Start = parse(
+        self.start: StartConfig = parse(
             {key: setting for key, setting in config.items() if setting is not None}, environment
         )
         assert self.start.settings == parse_settings({**SETTINGS, "balancers": 230})
         self.service = Service(cast(SocketEnv, self.world), self.start, {}, self.note)
         self.machine, self.host = self.service.machine, self.service.host
-        self.core, self.discovery = self.service.core, self.service.discovery
+        self.core, self.discovery = self.service.catalogue_client, self.service.discovery
         self.run(0.05)
 
 
@@ -100,7 +100,7 @@
     longest_idle = next(iter(fleet.machine.idle_links.values())).member.name
     unlinked = next(name for name in fleet.nodes if name not in linked_before)
     fleet.machine.call_at(fleet.world.now(), lambda: fleet.machine.probe(fleet.machine.members[unlinked]))
-    fleet.host.alarm.look()
+    fleet.host.timer.reschedule()
     fleet.run(0.05)
     linked = {link.member.name for link in fleet.machine.links.values()}
     assert unlinked in linked and longest_idle not in linked and len(fleet.machine.links) == max_links
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -531,7 +531,7 @@
     for name, node in site.nodes.items():
         other.list(name, node.address, writes=node.primary)
     other.list("r2", site.nodes["r2"].address, state="DRAINING")
-    site.discovery.move(other.address)
+    site.discovery.change_address(other.address)
     site.run(0.1)
     assert site.machine.members["r2"].state is State.DRAINING
     assert site.machine.members["r1"].state is State.READY
@@ -590,7 +590,7 @@
 
 def probe(site: Site, name: str) -> None:
     site.machine.call_at(site.world.now(), lambda: site.machine.probe(site.machine.members[name]))
-    site.host.alarm.look()
+    site.host.timer.reschedule()
     site.run(0.02)
 
 
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -13,7 +13,7 @@
 from banklift.adapter import WireError, parse_settings
 from banklift.emulator.world import World
 from banklift.interface import State
-from banklift.net.service import BadConfig, Service, Start, parse
+from banklift.net.service import ConfigurationError, Service, StartConfig, parse
 from banklift.net.sockets import SocketEnv
 from banklift.pg import frames
 from banklift.proxy.machine import LATE_CONNECT_GRACE
@@ -147,7 +147,7 @@
     caller.say(frames.query(site.write("k", "02").encode()), 0.1)
     opening = [link for link in site.machine.links.values() if not link.up]
     assert opening
-    site.run(2.0 + site.start.connect + LATE_CONNECT_GRACE)
+    site.run(2.0 + site.start.connect_timeout + LATE_CONNECT_GRACE)
     assert not any(link.id in site.machine.links for link in opening)
     assert not site.machine.members["p"].connecting and not site.machine.awaiting_link
     site.world.late.clear()
@@ -184,8 +184,8 @@
     site = Site()
     assert site.catalogue.listener is not None
     site.catalogue.listener.close()
-    start = replace(site.start, listen="10.1.0.2:6432")
-    service = Service(cast(SocketEnv, site.world), start, {}, site.note)
+    config = replace(site.start, listen="10.1.0.2:6432")
+    service = Service(cast(SocketEnv, site.world), config, {}, site.note)
     site.host = service.host
     caller = Caller(site)
     assert [kind for kind, _ in caller.ask("")] == ["I", "Z"]
@@ -252,7 +252,7 @@
     while moment != "accepted" and not site.machine.pending:
         site.run(0.00001)
     assert bool(site.machine.pending) is (moment != "accepted")
-    site.service.signalled(signal.SIGTERM, site.world.now())
+    site.service.handle_signal(signal.SIGTERM, site.world.now())
     site.run(0.5)
     assert [kind for kind, _ in caller.told()][-4:] == ["T", "D", "C", "Z"]
     assert site.nodes["p"].store[b"k"] == b"\x02"
@@ -344,7 +344,7 @@
 
 @pytest.mark.parametrize("name", ["conn_idle_s", "connect_timeout_s"])
 def test_times_of_connections_that_are_null_zero_or_absent_have_their_default(name: str) -> None:
-    def start(allowed: dict[str, Any]) -> Start:
+    def start(allowed: dict[str, Any]) -> StartConfig:
         return parse(
             {
                 "settings": {**SETTINGS, "allowed": allowed},
@@ -357,12 +357,15 @@
 
     without = {key: figure for key, figure in SETTINGS["allowed"].items() if key != name}
     usual = start(without)
-    assert (usual.idle, usual.connect, usual.sockets) == (30.0, 0.25, 1024)
+    assert (usual.link_idle_timeout, usual.connect_timeout, usual.sockets) == (30.0, 0.25, 1024)
     for figure in (None, 0, 0.0):
         told = start({**without, name: figure})
-        assert (told.idle, told.connect) == (usual.idle, usual.connect)
+        assert (told.link_idle_timeout, told.connect_timeout) == (
+            usual.link_idle_timeout,
+            usual.connect_timeout,
+        )
     for bad in (-1, True, "5", math.inf):
-        with pytest.raises(BadConfig, match=f"settings.allowed.{name}: seconds above 0"):
+        with pytest.raises(ConfigurationError, match=f"settings.allowed.{name}: seconds above 0"):
             start({**without, name: bad})
 
 
@@ -431,7 +434,7 @@
     site.catalogue.list("r1", site.nodes["r1"].address, state="DRAINING")
     site.run(0.5)
     assert not draining(site)
-    site.service.discovery.move(site.catalogue.address)
+    site.service.discovery.change_address(site.catalogue.address)
     site.run(0.05)
     assert draining(site)
 
@@ -452,7 +455,7 @@
     site = Site()
     now = site.world.now()
     for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
-        site.service.signalled(number, now)
+        site.service.handle_signal(number, now)
     assert [
         event for event, _ in site.notes if event in ("leaving", "configuration refused, the old one stays")
     ] == ["leaving", "configuration refused, the old one stays"]
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -46,7 +46,7 @@
 class SilentPeer(Peer):
     """Accepts a connection and never answers on it."""
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         pass
 
     def data(self, data: bytes) -> None:
@@ -254,7 +254,7 @@
     def __init__(self, name: str, events: list[str]) -> None:
         self.name, self.events = name, events
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         self.handle = handle
 
     def data(self, data: bytes) -> None:
@@ -304,8 +304,8 @@
     assert value(caller.ask(site.write("k", "01")))
     before = statements(site)
     (client,) = site.front.clients
-    site.host.tell(ev.ClientHalfClosed(client))
-    site.host.tell(ev.ClientData(client, frames.query(site.write("k", "02").encode())))
+    site.host.handle_event(ev.ClientHalfClosed(client))
+    site.host.handle_event(ev.ClientData(client, frames.query(site.write("k", "02").encode())))
     site.run(1.0)
     assert statements(site) == before
     site.balanced()
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -19,8 +19,8 @@
 from banklift.net.sockets import (
     DISCARD_LIMIT_BYTES,
     HIGH_WATER_BYTES,
+    MAX_LINGERING_CONNECTIONS,
     MAX_SOCKETS_PER_BATCH,
-    MOST_LINGERING,
     SocketEnv,
 )
 from tests.surroundings import pair, run
@@ -34,7 +34,7 @@
     def __init__(self, on_answered: Callable[[], None], away: bool = False) -> None:
         self.on_answered, self.away = on_answered, away
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         self.handle = handle
 
     def data(self, data: bytes) -> None:
@@ -54,7 +54,7 @@
 ) -> None:
     """Call `act`, and run until so many connections were answered and have closed."""
     async with anyio.create_task_group() as tasks:
-        env, answered = SocketEnv(tasks, alone=True), 0
+        env, answered = SocketEnv(tasks, exclusive_loop=True), 0
 
         def count_answer() -> None:
             nonlocal answered
@@ -125,7 +125,7 @@
 
     reason = ""
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         raise AssertionError("there is no connection")
 
     def data(self, data: bytes) -> None:
@@ -140,7 +140,7 @@
 
 async def connect_without_descriptors(monkeypatch: pytest.MonkeyPatch, close: bool) -> str:
     async with anyio.create_task_group() as tasks:
-        env, peer = SocketEnv(tasks, alone=True), FailingPeer()
+        env, peer = SocketEnv(tasks, exclusive_loop=True), FailingPeer()
 
         def raise_out_of_descriptors(*arguments: object) -> socket.socket:
             raise OSError(errno.EMFILE, "no descriptors left")
@@ -163,14 +163,15 @@
 
 
 def test_connections_that_are_closing_hold_few_descriptors() -> None:
-    """Many clients never close their side. Beyond `MOST_LINGERING` such connections the first ones are closed."""
+    """Many clients never close their side. Beyond `MAX_LINGERING_CONNECTIONS` such connections the first ones are
+    closed."""
     callers: list[socket.socket] = []
     most = 0
 
     async def serve_many_clients() -> None:
         nonlocal most
         async with anyio.create_task_group() as tasks:
-            env, answered = SocketEnv(tasks, alone=True), 0
+            env, answered = SocketEnv(tasks, exclusive_loop=True), 0
 
             def count_answer() -> None:
                 nonlocal answered
@@ -178,7 +179,7 @@
 
             listener = env.listen("127.0.0.1:0", lambda: Answering(count_answer))
             host, _, port = listener.address.partition(":")
-            for _ in range(3 * MOST_LINGERING):
+            for _ in range(3 * MAX_LINGERING_CONNECTIONS):
                 caller = socket.create_connection((host, int(port)), timeout=10)
                 caller.sendall(b"question")
                 callers.append(caller)
@@ -186,7 +187,7 @@
             def check() -> None:
                 nonlocal most
                 most = max(most, len(env.lingering))
-                if answered == 3 * MOST_LINGERING:
+                if answered == 3 * MAX_LINGERING_CONNECTIONS:
                     env.stop()
                 else:
                     env.at(env.now() + 0.001, check)
@@ -195,7 +196,7 @@
 
     with anyio.from_thread.start_blocking_portal() as portal:
         portal.call(serve_many_clients)
-    assert 0 < most <= MOST_LINGERING
+    assert 0 < most <= MAX_LINGERING_CONNECTIONS
     for caller in callers:
         caller.close()
 
@@ -205,7 +206,7 @@
 
     is_full = False
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         self.handle = handle
 
     def data(self, data: bytes) -> None:
@@ -217,7 +218,7 @@
     def lost(self, reason: str) -> None:
         pass
 
-    def full(self) -> None:
+    def write_paused(self) -> None:
         self.is_full = True
 
 
@@ -227,7 +228,7 @@
     def __init__(self, slow: SlowReader, totals: list[int]) -> None:
         self.slow, self.totals = slow, totals  # bytes sent, and data events
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         pass
 
     def data(self, data: bytes) -> None:
