--- a/banklift/emulator/platform.py
+++ b/banklift/emulator/platform.py
@@ -68,9 +68,9 @@
 
     def status_messages(self) -> bytes:
         """ParameterStatus messages with the member's role and its commit clock in milliseconds."""
-        return frames.parameter("server_role", "writer" if self.primary else "reader") + frames.parameter(
-            "commit_clock", str(int(self.env.now() * 1000))
-        )
+        return frames.parameter_status(
+            "server_role", "writer" if self.primary else "reader"
+        ) + frames.parameter_status("commit_clock", str(int(self.env.now() * 1000)))
 
     def usage(self) -> bytes:
         """The answer to SHOW usage, without ReadyForQuery: position (the clock), role and load."""
@@ -87,15 +87,19 @@
         """
         key = re.search(rb"'([^']*)'", statement)
         if key is None:
-            return frames.error("08P01", "not a statement") + frames.READY
+            return frames.error_response("08P01", "not a statement") + frames.READY_FOR_QUERY
         if statement.startswith(b"INSERT"):
             if not self.primary:
-                return frames.error("25006", "this is no primary") + self.status_messages() + frames.READY
+                return (
+                    frames.error_response("25006", "this is no primary")
+                    + self.status_messages()
+                    + frames.READY_FOR_QUERY
+                )
             value = re.search(rb"'\\x([0-9a-f]*)'", statement)
             assert value is not None
             self.store[key[1]] = bytes.fromhex(value[1].decode())
-            return row(self.store[key[1]], b"INSERT 0 1") + self.status_messages() + frames.READY
-        return row(self.store.get(key[1], b"none")) + self.status_messages() + frames.READY
+            return row(self.store[key[1]], b"INSERT 0 1") + self.status_messages() + frames.READY_FOR_QUERY
+        return row(self.store.get(key[1], b"none")) + self.status_messages() + frames.READY_FOR_QUERY
 
 
 class _PgPeer(Peer):
@@ -118,10 +122,10 @@
             kind, body = message
             if kind == b"":  # the startup message
                 self.reader.started = True
-                self.say(frames.AUTHENTICATED + frames.READY)
+                self.say(frames.AUTHENTICATION_OK + frames.READY_FOR_QUERY)
             elif kind == b"Q" and body == b"SHOW usage\0":
                 self.node.probes += 1
-                self.say(self.node.usage() + frames.READY)
+                self.say(self.node.usage() + frames.READY_FOR_QUERY)
             elif kind == b"Q":
                 self.node.seen.append(body[:-1])
                 self.node.open += 1
--- a/banklift/pg/frames.py
+++ b/banklift/pg/frames.py
@@ -24,9 +24,9 @@
 _LENGTH = struct.Struct("!I")
 _HEAD = struct.Struct("!cI")
 
-READY = b"Z\0\0\0\x05I"  # ReadyForQuery, outside a transaction
-EMPTY = b"I\0\0\0\x04"  # EmptyQueryResponse
-AUTHENTICATED = b"R\0\0\0\x08\0\0\0\0"  # AuthenticationOk
+READY_FOR_QUERY = b"Z\0\0\0\x05I"  # ReadyForQuery, outside a transaction
+EMPTY_QUERY_RESPONSE = b"I\0\0\0\x04"  # EmptyQueryResponse
+AUTHENTICATION_OK = b"R\0\0\0\x08\0\0\0\0"  # AuthenticationOk
 MEMBER_MESSAGE_TYPES = frozenset(b"RSKTDCIENZ")  # what an answer to a simple query or a startup may contain
 
 
@@ -50,12 +50,12 @@
     return _LENGTH.pack(len(body) + 4) + body
 
 
-def parameter(name: str, value: str) -> bytes:
+def parameter_status(name: str, value: str) -> bytes:
     """A ParameterStatus message."""
     return message(b"S", f"{name}\0{value}\0".encode())
 
 
-def error(code: str, text: str, detail: str = "", severity: str = "ERROR") -> bytes:
+def error_response(code: str, text: str, detail: str = "", severity: str = "ERROR") -> bytes:
     """An ErrorResponse. `code`: its SQLSTATE; `text`: field M; `detail`: field D, left out if empty."""
     fields = f"S{severity}\0V{severity}\0C{code}\0M{text}\0" + (f"D{detail}\0" if detail else "")
     return message(b"E", fields.encode("utf-8", "replace") + b"\0")
--- a/banklift/pg/front.py
+++ b/banklift/pg/front.py
@@ -59,16 +59,16 @@
 MAX_DEADLINE_FACTOR = 10  # a longer `d` than this multiple of the deadline of its class is refused
 MAX_COMMIT_AHEAD_S = 1.0  # how far the commit time in `after` may lie ahead of this router's clock
 STARTUP_ANSWER = (
-    frames.AUTHENTICATED
-    + frames.parameter("server_version", "15.0 (banklift)")
-    + frames.parameter("client_encoding", "UTF8")
-    + frames.parameter("server_encoding", "UTF8")
-    + frames.parameter("DateStyle", "ISO, MDY")
-    + frames.parameter("integer_datetimes", "on")
-    + frames.parameter("standard_conforming_strings", "on")
-    + frames.READY
+    frames.AUTHENTICATION_OK
+    + frames.parameter_status("server_version", "15.0 (banklift)")
+    + frames.parameter_status("client_encoding", "UTF8")
+    + frames.parameter_status("server_encoding", "UTF8")
+    + frames.parameter_status("DateStyle", "ISO, MDY")
+    + frames.parameter_status("integer_datetimes", "on")
+    + frames.parameter_status("standard_conforming_strings", "on")
+    + frames.READY_FOR_QUERY
 )
-OUTCOME_UNKNOWN = frames.error("40003", "failed: it may have run") + frames.READY
+OUTCOME_UNKNOWN = frames.error_response("40003", "failed: it may have run") + frames.READY_FOR_QUERY
 
 
 @dataclass(slots=True, eq=False)
@@ -143,7 +143,7 @@
             else:
                 self.core.actions.append(
                     ev.SendToClient(
-                        client_id, frames.error("53300", "too many connections", severity="FATAL")
+                        client_id, frames.error_response("53300", "too many connections", severity="FATAL")
                     )
                 )
                 self.core.actions.append(ev.CloseClient(client_id))
@@ -199,7 +199,7 @@
             self.pending_ids.discard(command.client_request_id)
         match final:
             case Served(answer):
-                command.answer = answer + frames.READY
+                command.answer = answer + frames.READY_FOR_QUERY
             case Refused(retry_after):
                 command.answer = refusal(retry_after)
             case Failed():
@@ -251,7 +251,7 @@
 
     def _fail_connection(self, client: Client, code: str, text: str) -> None:
         """Queue a FATAL error with this SQLSTATE, after which the connection is closed and no input is parsed."""
-        client.queue.append(PendingCommand(frames.error(code, text, severity="FATAL")))
+        client.queue.append(PendingCommand(frames.error_response(code, text, severity="FATAL")))
         client.closing = client.discards_input = True
         self._pause(client)
 
@@ -342,7 +342,7 @@
                         self.core.actions.append(
                             ev.SendToClient(
                                 client.id,
-                                frames.error(
+                                frames.error_response(
                                     "57P05",
                                     "nothing asked, or half a message, for too long",
                                     severity="FATAL",
@@ -392,7 +392,7 @@
             return self._fail_connection(client, "08P01", "a query that is not one text")
         text = body[:-1]
         if not text.strip(b" \t\r\n;"):
-            client.queue.append(PendingCommand(frames.EMPTY + frames.READY))
+            client.queue.append(PendingCommand(frames.EMPTY_QUERY_RESPONSE + frames.READY_FOR_QUERY))
             return
         try:
             statement = parse(text)
@@ -401,7 +401,9 @@
             client.bad_statements += 1
             if client.bad_statements >= MAX_BAD_STATEMENTS:
                 return self._fail_connection(client, error.code, str(error))
-            client.queue.append(PendingCommand(frames.error(error.code, str(error)) + frames.READY))
+            client.queue.append(
+                PendingCommand(frames.error_response(error.code, str(error)) + frames.READY_FOR_QUERY)
+            )
             return
         core = self.core
         if (
@@ -469,10 +471,10 @@
 def refusal(retry_after: float) -> bytes:
     """The answer to a refused request. `retry_after`: seconds until the client may retry; 0 leaves the time out."""
     return (
-        frames.error(
+        frames.error_response(
             "53300",
             "refused: nothing ran, or a repeat does no harm",
             str(math.ceil(retry_after * 1000)) if retry_after > 0 else "",
         )
-        + frames.READY
+        + frames.READY_FOR_QUERY
     )
--- a/banklift/pg/wire.py
+++ b/banklift/pg/wire.py
@@ -45,7 +45,7 @@
 )
 
 ANSWER_LIMIT = VALUE_LIMIT + 16 * 1024  # bytes of one answer with all its messages
-USAGE = frames.query(b"SHOW usage")  # the probe
+USAGE_QUERY = frames.query(b"SHOW usage")  # the probe
 MAX_POSITION_AHEAD_S = 0.05  # how far a position may be ahead of this router's clock
 # Time for which a link stays unused after an answer: unexpected bytes sent right behind the answer arrive within it.
 LINK_REST_S = 0.002
@@ -94,7 +94,7 @@
 
     def accepts_greeting(self, frame: bytes) -> bool:
         """Whether the answer to the startup begins with an authentication message and ends with ReadyForQuery."""
-        return frame[:1] == b"R" and frame[-6:-1] == frames.READY[:-1]
+        return frame[:1] == b"R" and frame[-6:-1] == frames.READY_FOR_QUERY[:-1]
 
     def is_unsolicited(self, frame: bytes) -> bool:
         """Always false: every frame answers a query."""
@@ -102,7 +102,7 @@
 
     def probe(self) -> bytes:
         """The query for a load report."""
-        return USAGE
+        return USAGE_QUERY
 
     @property
     def has_probe_links(self) -> bool:
--- a/banklift/rig/capacity_members.py
+++ b/banklift/rig/capacity_members.py
@@ -19,7 +19,7 @@
 from banklift.discovery.client import CallResult, CatalogueClient, Send
 from banklift.pg import frames
 from banklift.pg.front import PgFront
-from banklift.pg.wire import USAGE, PgWire
+from banklift.pg.wire import USAGE_QUERY, PgWire
 from banklift.proxy import events as ev
 from banklift.proxy.machine import Machine
 from banklift.proxy.plan import Limits
@@ -146,8 +146,10 @@
     def _answer(self, link: int, data: bytes) -> None:
         """What a member does with bytes from the router."""
         if data[4:8] == b"\0\x03\0\0":  # protocol 3.0: a startup message
-            self._schedule(STARTUP_SECONDS, ev.LinkData(link, frames.AUTHENTICATED + frames.READY))
-        elif data == USAGE:
+            self._schedule(
+                STARTUP_SECONDS, ev.LinkData(link, frames.AUTHENTICATION_OK + frames.READY_FOR_QUERY)
+            )
+        elif data == USAGE_QUERY:
             self._schedule(PROBE_SECONDS, ev.LinkData(link, usage_answer(self.now, self._is_primary(link))))
         else:
             self._schedule(REQUEST_SECONDS, ev.LinkData(link, row_answer(self.now, self._is_primary(link))))
@@ -201,13 +203,13 @@
 
 def row_answer(now: float, primary: bool) -> bytes:
     """A member's answer to a request: one row with one value, its role and its commit clock in milliseconds."""
-    parameters = frames.parameter("server_role", "writer" if primary else "reader")
-    parameters += frames.parameter("commit_clock", str(int(now * 1000)))
+    parameters = frames.parameter_status("server_role", "writer" if primary else "reader")
+    parameters += frames.parameter_status("commit_clock", str(int(now * 1000)))
     description = frames.message(
         b"T", b"\0\x01content\0" + b"\0" * 6 + b"\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01"
     )
     row = frames.message(b"D", b"\0\x01\0\0\0\x08" + b"12345678")
-    return description + row + frames.message(b"C", b"SELECT 1\0") + parameters + frames.READY
+    return description + row + frames.message(b"C", b"SELECT 1\0") + parameters + frames.READY_FOR_QUERY
 
 
 def usage_answer(now: float, primary: bool) -> bytes:
@@ -216,7 +218,7 @@
     field_format = b"\0" * 6 + b"\0\0\0\x19\xff\xff\xff\xff\xff\xff\0\0"
     description = frames.message(b"T", b"\0\x01usage\0" + field_format)
     row = frames.message(b"D", b"\0\x01" + len(text).to_bytes(4, "big") + text)
-    return description + row + frames.message(b"C", b"SHOW\0") + frames.READY
+    return description + row + frames.message(b"C", b"SHOW\0") + frames.READY_FOR_QUERY
 
 
 @dataclass(frozen=True, slots=True)
--- a/benchmarks/pg_machine.py
+++ b/benchmarks/pg_machine.py
@@ -17,7 +17,7 @@
 from banklift.interface import State
 from banklift.pg import frames
 from banklift.pg.front import PgFront
-from banklift.pg.wire import USAGE, PgWire
+from banklift.pg.wire import USAGE_QUERY, PgWire
 from banklift.proxy import events as ev
 from banklift.proxy.machine import Machine
 from banklift.proxy.plan import Limits
@@ -27,13 +27,13 @@
 
 
 def answer(now: float, primary: bool) -> bytes:
-    told = frames.parameter("server_role", "writer" if primary else "reader")
-    told += frames.parameter("commit_clock", str(int(now * 1000)))
+    told = frames.parameter_status("server_role", "writer" if primary else "reader")
+    told += frames.parameter_status("commit_clock", str(int(now * 1000)))
     description = frames.message(
         b"T", b"\0\x01content\0" + b"\0" * 6 + b"\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01"
     )
     row = frames.message(b"D", b"\0\x01\0\0\0\x08" + b"12345678")
-    return description + row + frames.message(b"C", b"SELECT 1\0") + told + frames.READY
+    return description + row + frames.message(b"C", b"SELECT 1\0") + told + frames.READY_FOR_QUERY
 
 
 def usage(now: float, primary: bool) -> bytes:
@@ -42,7 +42,7 @@
         b"T", b"\0\x01usage\0" + b"\0" * 6 + b"\0\0\0\x19\xff\xff\xff\xff\xff\xff\0\0"
     )
     row = frames.message(b"D", b"\0\x01" + len(text).to_bytes(4, "big") + text)
-    return description + row + frames.message(b"C", b"SHOW\0") + frames.READY
+    return description + row + frames.message(b"C", b"SHOW\0") + frames.READY_FOR_QUERY
 
 
 class Site:
@@ -88,8 +88,10 @@
                 case ev.SendToLink(link, data):
                     primary = self.links[link][2] == "0"
                     if data[4:8] == b"\0\x03\0\0":
-                        self.later(0.001, ev.LinkData(link, frames.AUTHENTICATED + frames.READY))
-                    elif data == USAGE:
+                        self.later(
+                            0.001, ev.LinkData(link, frames.AUTHENTICATION_OK + frames.READY_FOR_QUERY)
+                        )
+                    elif data == USAGE_QUERY:
                         self.later(0.002, ev.LinkData(link, usage(self.now, primary)))
                     else:
                         self.later(0.03, ev.LinkData(link, answer(self.now, primary)))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -297,21 +297,25 @@
         frames.message(b"T", b"\0\x02" + b"a\0" + b"\0" * 18 + b"b\0" + b"\0" * 18)
         + frames.message(b"D", b"\0\x02\0\0\0\x01x\0\0\0\x01y")
         + frames.message(b"C", b"SELECT 1\0")
-        + frames.READY,
+        + frames.READY_FOR_QUERY,
     ),
-    ("a row too many", row(b"1")[:-14] + row(b"2") + frames.READY),
-    ("no row", frames.message(b"C", b"SELECT 0\0") + frames.READY),
+    ("a row too many", row(b"1")[:-14] + row(b"2") + frames.READY_FOR_QUERY),
+    ("no row", frames.message(b"C", b"SELECT 0\0") + frames.READY_FOR_QUERY),
     (
         "a value that is shorter than its row",
-        row(b"12345678").replace(b"\0\0\0\x0812345678", b"\0\0\0\x0412345678") + frames.READY,
+        row(b"12345678").replace(b"\0\0\0\x0812345678", b"\0\0\0\x0412345678") + frames.READY_FOR_QUERY,
     ),
     (
         "a value of a negative length",
-        row(b"").replace(b"D\0\0\0\x0a\0\x01\0\0\0\0", b"D\0\0\0\x0a\0\x01\xff\xff\xff\xff") + frames.READY,
+        row(b"").replace(b"D\0\0\0\x0a\0\x01\0\0\0\0", b"D\0\0\0\x0a\0\x01\xff\xff\xff\xff")
+        + frames.READY_FOR_QUERY,
     ),
-    ("an error without an end", frames.message(b"E", b"C53300") + frames.READY),
-    ("an error behind a row", row(b"1")[:-14] + frames.error("53300", "full") + frames.READY),
-    ("an authentication", frames.AUTHENTICATED + frames.READY),
+    ("an error without an end", frames.message(b"E", b"C53300") + frames.READY_FOR_QUERY),
+    (
+        "an error behind a row",
+        row(b"1")[:-14] + frames.error_response("53300", "full") + frames.READY_FOR_QUERY,
+    ),
+    ("an authentication", frames.AUTHENTICATION_OK + frames.READY_FOR_QUERY),
 ]
 
 
@@ -340,7 +344,9 @@
     assert sum(len(node.seen) for node in site.nodes.values()) == 2
 
 
-@pytest.mark.parametrize("more", [row(b"theirs") + frames.READY, b"noise", frames.READY, b"S"])
+@pytest.mark.parametrize(
+    "more", [row(b"theirs") + frames.READY_FOR_QUERY, b"noise", frames.READY_FOR_QUERY, b"S"]
+)
 @pytest.mark.parametrize("later", [False, True])
 def test_a_good_answer_with_more_bytes_behind_it_is_served_and_its_link_closed(
     more: bytes, later: bool
@@ -372,7 +378,9 @@
     site = Site()
     site.nodes["p"].answers.append(
         lambda node, statement: (
-            node.answer(statement)[:-6] + frames.parameter("usage", "inflight=x") + frames.READY
+            node.answer(statement)[:-6]
+            + frames.parameter_status("usage", "inflight=x")
+            + frames.READY_FOR_QUERY
         )
     )
     assert value(Caller(site).ask(site.write("k", "01"))) == b"\x01"
@@ -380,9 +388,9 @@
 
 def test_a_position_ahead_of_the_clock_is_dropped() -> None:
     site = Site()
-    ahead = frames.parameter("commit_clock", str(int((site.world.now() + 60) * 1000)))
+    ahead = frames.parameter_status("commit_clock", str(int((site.world.now() + 60) * 1000)))
     for node in site.nodes.values():
-        node.answers.append(lambda node, statement: row(b"x") + ahead + frames.READY)
+        node.answers.append(lambda node, statement: row(b"x") + ahead + frames.READY_FOR_QUERY)
     caller = Caller(site)
     caller.ask(site.read("any"), 0.1)
     assert all(member.position <= site.world.now() for member in site.machine.balancer.members.values())
@@ -401,7 +409,9 @@
 def test_the_outcome_of_a_write_for_each_error_of_a_member(error: str, expected: str) -> None:
     site = Site()
     for node in site.nodes.values():
-        node.answers.extend([lambda node, statement: frames.error(error, "no") + frames.READY] * 20)
+        node.answers.extend(
+            [lambda node, statement: frames.error_response(error, "no") + frames.READY_FOR_QUERY] * 20
+        )
     caller = Caller(site)
     told = caller.ask(site.write("k", "01"), 2.2)
     assert code(told) == expected
@@ -619,7 +629,7 @@
 def test_a_member_that_refuses_a_probe_counts_as_alive() -> None:
     site = Site()
     node, known = site.nodes["r1"], site.machine.members["r1"]
-    node.usage = lambda: frames.error("57P03", "asked too often")  # type: ignore[method-assign]
+    node.usage = lambda: frames.error_response("57P03", "asked too often")  # type: ignore[method-assign]
     probe(site, "r1")
     member = site.machine.balancer.members["r1"]
     assert (
@@ -726,10 +736,10 @@
     assert member.probe_link is not None
     for event in (
         ev.LinkUp(member.probe_link.id),
-        ev.LinkData(member.probe_link.id, frames.AUTHENTICATED + frames.READY),
+        ev.LinkData(member.probe_link.id, frames.AUTHENTICATION_OK + frames.READY_FOR_QUERY),
     ):
         site.machine.handle(site.world.now(), event)
     site.machine.probe(member)
-    usage = site.nodes["r1"].usage() + frames.READY
+    usage = site.nodes["r1"].usage() + frames.READY_FOR_QUERY
     site.machine.handle(site.world.now(), ev.LinkData(member.probe_link.id, usage + b"\0noise"))
     assert not member.pending_probes and member.probe_link is None
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -116,7 +116,9 @@
     caller = Caller(site)
     assert value(caller.ask(site.write("k", "01")))
     for _ in range(8):
-        site.nodes["p"].answers.append(lambda node, statement: frames.error("XX000", "broken") + frames.READY)
+        site.nodes["p"].answers.append(
+            lambda node, statement: frames.error_response("XX000", "broken") + frames.READY_FOR_QUERY
+        )
     assert code(caller.ask(site.write("k", "02"), 2.0)) == "40003"
 
 
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -205,7 +205,9 @@
     )
     caller = Caller(site)
     for node in site.nodes.values():
-        node.answers.append(lambda node, statement: frames.error("XX000", "broken") + frames.READY)
+        node.answers.append(
+            lambda node, statement: frames.error_response("XX000", "broken") + frames.READY_FOR_QUERY
+        )
     caller.say(frames.query(site.read("any", "k").encode()), 0.05)
     assert statements(site) == 1 and len(site.machine.in_flight) == 1
     leave(caller)
@@ -431,7 +433,7 @@
     with socket.create_connection((host, int(port)), timeout=60) as client:
         client.sendall(frames.startup("backend", "store") + frames.query(b""))
         answer = b""
-        while frames.EMPTY + frames.READY not in answer:
+        while frames.EMPTY_QUERY_RESPONSE + frames.READY_FOR_QUERY not in answer:
             chunk = client.recv(1000)
             assert chunk, answer
             answer += chunk
--- a/tools/two_builds.py
+++ b/tools/two_builds.py
@@ -606,7 +606,7 @@
 def _answer(connection: socket.socket, part: bytes) -> bytes:
     """Read until as many ReadyForQuery messages came as queries were sent, or the end of the connection."""
     wanted, answer = max(1, part.count(b" */\0")), b""
-    while answer.count(frames.READY) < wanted and answer != b"N":
+    while answer.count(frames.READY_FOR_QUERY) < wanted and answer != b"N":
         try:
             data = connection.recv(65_536)
         except ConnectionError:
