--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -82,17 +82,17 @@
 }
 
 
-class Caller(Peer):
+class SiteClient(Peer):
     """One client's connection. It sends its startup message at once, unless `start` is false."""
 
     def __init__(self, site: Site, start: bool = True) -> None:
         self.site = site
         self.received = b""
-        self.ended = False
+        self.closed = False
         self.handle: Handle = site.world.connect(site.host.address, self)
         if start:
-            self.say(frames.startup("backend", "store"))
-            assert [kind for kind, _ in self.told()][-1] == "Z"
+            self.send(frames.startup("backend", "store"))
+            assert [kind for kind, _ in self.received_messages()][-1] == "Z"
 
     def connected(self, handle: Handle) -> None:
         pass
@@ -101,18 +101,18 @@
         self.received += data
 
     def eof(self) -> None:
-        self.ended = True
+        self.closed = True
 
     def lost(self, reason: str) -> None:
-        self.ended = True
+        self.closed = True
 
-    def say(self, data: bytes, wait: float = 0.01) -> None:
+    def send(self, data: bytes, wait: float = 0.01) -> None:
         """Send bytes, then let `wait` seconds pass."""
         self.site.run(0.001)
         self.handle.send(data)
         self.site.run(wait)
 
-    def told(self) -> list[tuple[str, bytes]]:
+    def received_messages(self) -> list[tuple[str, bytes]]:
         """Type and body of each message received since the last call."""
         data, self.received = self.received, b""
         messages, pos = [], 0
@@ -122,10 +122,10 @@
             pos += 1 + length
         return messages
 
-    def ask(self, text: str, wait: float = 0.01) -> list[tuple[str, bytes]]:
+    def query(self, text: str, wait: float = 0.01) -> list[tuple[str, bytes]]:
         """Send a query, and return the messages received within `wait` seconds."""
-        self.say(frames.query(text.encode()), wait)
-        return self.told()
+        self.send(frames.query(text.encode()), wait)
+        return self.received_messages()
 
 
 class Site:
@@ -180,35 +180,40 @@
         """Let virtual time pass."""
         self.world.run(self.world.now() + seconds)
 
-    def comment(self, kind: str, patience: int = 2000, **more: object) -> str:
-        """A statement's comment. `kind`: the class's name; `patience`: milliseconds; `more`: further pairs."""
+    def comment(self, class_name: str, timeout_ms: int = 2000, **more: object) -> str:
+        """A statement's comment. `class_name`: the class's name; `timeout_ms`: milliseconds; `more`: further pairs."""
         self.ids += 1
         other_pairs = "".join(
             f",{name}={value}" for name, value in more.items() if name not in ("id", "cluster", "t")
         )
         return (
-            f"/* id={more.get('id', f'{self.ids:016x}')},c={kind},t={more.get('t', 'acme')},d={patience},"
+            f"/* id={more.get('id', f'{self.ids:016x}')},c={class_name},t={more.get('t', 'acme')},d={timeout_ms},"
             f"cluster={more.get('cluster', 0)}{other_pairs} */"
         )
 
-    def read(self, kind: str = "view", key: str = "k", patience: int = 2000, **more: object) -> str:
+    def read(self, class_name: str = "view", key: str = "k", timeout_ms: int = 2000, **more: object) -> str:
         """The text of a read; see `comment`."""
-        return f"SELECT content FROM kv WHERE name = '{key}' {self.comment(kind, patience, **more)}"
+        return f"SELECT content FROM kv WHERE name = '{key}' {self.comment(class_name, timeout_ms, **more)}"
 
     def write(
-        self, key: str = "k", value: str = "9f03", kind: str = "save", patience: int = 2000, **more: object
+        self,
+        key: str = "k",
+        value: str = "9f03",
+        class_name: str = "save",
+        timeout_ms: int = 2000,
+        **more: object,
     ) -> str:
         """The text of a write of `value` (hexadecimal digits); see `comment`."""
         return (
             f"INSERT INTO kv (name, content) VALUES ('{key}', '\\x{value}') RETURNING content "
-            f"{self.comment(kind, patience, **more)}"
+            f"{self.comment(class_name, timeout_ms, **more)}"
         )
 
     def run_later(self, seconds: float, call: Callable[[], None]) -> None:
         """Call `call` after so many seconds of virtual time."""
         self.world.at(self.world.now() + seconds, call)
 
-    def balanced(self) -> None:
+    def assert_no_leftovers(self) -> None:
         """Check that the router's attempts in flight are those that members hold, and that no ended request is kept."""
         for name, node in self.nodes.items():
             member = self.machine.balancer.members.get(name)
--- a/tests/test_adopt.py
+++ b/tests/test_adopt.py
@@ -15,7 +15,7 @@
 def change(rig: Rig, **changes: object) -> Policy:
     """Apply the machine's own configuration with these changes; return the policy."""
     new = msgspec.structs.replace(policy.decode(policy.of(rig.config)), **changes)
-    rig.tell(build.adopt(rig.config, new))
+    rig.handle(build.adopt(rig.config, new))
     return new
 
 
@@ -27,11 +27,11 @@
 
 def test_a_request_of_a_removed_class_is_answered() -> None:
     rig = Rig()
-    rig.ask("GET", "alert:1")
-    link = rig.up("r:1")
+    rig.send_command("GET", "alert:1")
+    link = rig.connect("r:1")
     change(rig, **without(rig, "alert-check"))
     assert "alert-check" in rig.machine.balancer.classes  # a request of it is pending
-    rig.tell(ev.LinkData(link, info(False, 5) + b"$1\r\nx\r\n"))
+    rig.handle(ev.LinkData(link, info(False, 5) + b"$1\r\nx\r\n"))
     assert rig.answer() == b"$1\r\nx\r\n"
     assert link not in rig.closed
     change(rig, **without(rig, "alert-check"))
@@ -41,8 +41,8 @@
 def test_a_held_write_of_a_removed_class_is_refused_by_its_own_deadline() -> None:
     rig = Rig()
     rig.offsets.clear()  # no member answers probes, and the primary is gone
-    rig.tell(ev.Roster((ev.ListedMember("r", 0, "r:1"),)))
-    rig.ask("SET", "note:1", "a")
+    rig.handle(ev.Roster((ev.ListedMember("r", 0, "r:1"),)))
+    rig.send_command("SET", "note:1", "a")
     changes = without(rig, "note")
     change(rig, **changes)
     rig.wait(3.0)
@@ -52,9 +52,9 @@
 
 def test_a_shorter_deadline_applies_to_new_requests_only() -> None:
     rig = Rig()
-    rig.ask("SET", "note:1", "a")  # its class has a deadline of 2 s
-    link = rig.up("p:1")
-    rig.tell(ev.ClientOpened(2))
+    rig.send_command("SET", "note:1", "a")  # its class has a deadline of 2 s
+    link = rig.connect("p:1")
+    rig.handle(ev.ClientOpened(2))
     classes = [
         msgspec.structs.replace(request_class, aim=0.2, deadline=0.3)
         if request_class.name == "note"
@@ -62,31 +62,31 @@
         for request_class in rig.config.classes
     ]
     change(rig, classes=classes)
-    rig.ask("SET", "note:2", "b", client=2)
+    rig.send_command("SET", "note:2", "b", client=2)
     rig.wait(0.5)
     assert rig.answer(2) and not rig.answer(1)
-    rig.tell(ev.LinkData(link, b"+OK\r\n" + info(True, 50)))
+    rig.handle(ev.LinkData(link, b"+OK\r\n" + info(True, 50)))
     assert rig.answer(1) == b"+OK\r\n"
 
 
 def test_a_changed_route_applies_to_new_requests_only() -> None:
     rig = Rig()
-    rig.ask("GET", "alert:1")
+    rig.send_command("GET", "alert:1")
     assert rig.data_links("r:1") and not rig.data_links("p:1")  # any member may serve it
     moved = [Route(to="final", keys="alert:*", commands=["GET"]), *rig.config.routes]
     change(rig, routes=moved)
-    rig.tell(ev.ClientOpened(2))
-    rig.ask("GET", "alert:2", client=2)
+    rig.handle(ev.ClientOpened(2))
+    rig.send_command("GET", "alert:2", client=2)
     assert rig.data_links("p:1")  # only the primary now
 
 
 def test_a_transaction_is_routed_by_the_policy_at_its_exec() -> None:
     rig = Rig()
-    rig.ask("MULTI")
-    rig.ask("GET", "alert:1")
+    rig.send_command("MULTI")
+    rig.send_command("GET", "alert:1")
     rig.answer()
     change(rig, routes=[Route(to="final", keys="alert:*", commands=["GET"]), *rig.config.routes])
-    rig.ask("EXEC")
+    rig.send_command("EXEC")
     assert rig.data_links("p:1") and not rig.data_links("r:1")
 
 
@@ -95,12 +95,12 @@
     before = change(rig, users=[User(name="ann", password="one"), User(name="bob", password="b")])
     for client, name, password in ((1, "ann", "one"), (2, "bob", "b")):
         if client > 1:
-            rig.tell(ev.ClientOpened(client))
-        rig.ask("AUTH", name, password, client=client)
+            rig.handle(ev.ClientOpened(client))
+        rig.send_command("AUTH", name, password, client=client)
         assert rig.answer(client) == b"+OK\r\n"
-    rig.ask("GET", "alert:1")
-    link = rig.up("r:1")
-    rig.tell(
+    rig.send_command("GET", "alert:1")
+    link = rig.connect("r:1")
+    rig.handle(
         build.adopt(
             rig.config,
             msgspec.structs.replace(
@@ -109,41 +109,41 @@
         )
     )
     assert rig.closed_clients == []
-    rig.tell(ev.LinkData(link, info(False, 5) + b"$1\r\nx\r\n"))
+    rig.handle(ev.LinkData(link, info(False, 5) + b"$1\r\nx\r\n"))
     assert rig.answer() == b"$1\r\nx\r\n" and rig.closed_clients == [1]
-    rig.ask("PING", client=2)
+    rig.send_command("PING", client=2)
     assert rig.answer(2) == b"+PONG\r\n"
 
 
 def test_limits_and_rules_change_and_connections_stay() -> None:
     rig = Rig()
-    rig.ask("GET", "alert:1")
-    link = rig.up("r:1")
+    rig.send_command("GET", "alert:1")
+    link = rig.connect("r:1")
     change(rig, limits=Limits(queue=1), rules=Rules(max_retry_after=0.25))
-    rig.tell(ev.ClientOpened(2))
-    rig.ask("GET", "alert:2", client=2)
+    rig.handle(ev.ClientOpened(2))
+    rig.send_command("GET", "alert:2", client=2)
     assert rig.answer(2).endswith(b"retry_after_ms=250\r\n")
-    rig.tell(ev.LinkData(link, info(False, 5) + b"$1\r\nx\r\n"))
+    rig.handle(ev.LinkData(link, info(False, 5) + b"$1\r\nx\r\n"))
     assert rig.answer() == b"$1\r\nx\r\n" and link not in rig.closed
 
 
 def test_without_a_lease_new_requests_are_refused_at_once_and_open_ones_answered() -> None:
     rig = Rig()
-    rig.ask("GET", "alert:1")
-    link = rig.up("r:1")
-    rig.tell(ev.ClientOpened(2))
-    rig.tell(ev.AcceptUntil(rig.now + 1.0, 0.125))
-    rig.ask("GET", "alert:2", client=2)
+    rig.send_command("GET", "alert:1")
+    link = rig.connect("r:1")
+    rig.handle(ev.ClientOpened(2))
+    rig.handle(ev.AcceptUntil(rig.now + 1.0, 0.125))
+    rig.send_command("GET", "alert:2", client=2)
     assert not rig.answer(2)
     rig.now += 1.0
-    rig.tell(ev.ClientOpened(3))
-    rig.ask("GET", "alert:3", client=3)
+    rig.handle(ev.ClientOpened(3))
+    rig.send_command("GET", "alert:3", client=3)
     assert rig.answer(3) == b"-TRYAGAIN refused: nothing ran; retry_after_ms=125\r\n"
-    rig.tell(ev.LinkData(link, info(False, 5) + b"$1\r\nx\r\n"))
+    rig.handle(ev.LinkData(link, info(False, 5) + b"$1\r\nx\r\n"))
     assert rig.answer() == b"$1\r\nx\r\n"
-    rig.tell(ev.AcceptUntil(rig.now + 1.0, 0.125))
-    rig.tell(ev.ClientOpened(4))
-    rig.ask("GET", "alert:4", client=4)
+    rig.handle(ev.AcceptUntil(rig.now + 1.0, 0.125))
+    rig.handle(ev.ClientOpened(4))
+    rig.send_command("GET", "alert:4", client=4)
     assert b"nothing ran" not in rig.answer(4)
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -271,8 +271,8 @@
         env={**platform.environment(), "PYTHONPATH": path},
         stderr=subprocess.PIPE,
     )
-    platform.said("listening")
+    platform.wait_for_log("listening")
     platform.process.send_signal(signal.SIGHUP)  # now the configuration is read again
-    platform.said("configuration read again")
+    platform.wait_for_log("configuration read again")
     platform.process.send_signal(signal.SIGTERM)
-    platform.said("leaving")
+    platform.wait_for_log("leaving")
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -48,12 +48,12 @@
                 continue
             state = rig.machine.links.get(link)
             if state is not None and not state.up:
-                rig.tell(ev.LinkUp(link))
+                rig.handle(ev.LinkUp(link))
                 progressed = True
             data = rig.sent.pop(link, b"")
             if data:
                 progressed = True
-                rig.tell(ev.LinkData(link, replies_of_member(data, address)))
+                rig.handle(ev.LinkData(link, replies_of_member(data, address)))
         if not progressed:
             return
 
@@ -85,7 +85,7 @@
     rig = Rig()
     stream = b"".join(command(*args) for args in commands)
     for start in range(0, len(stream), size):
-        rig.tell(ev.ClientData(1, stream[start : start + size]))
+        rig.handle(ev.ClientData(1, stream[start : start + size]))
         answer_members(rig)
     rig.wait(3.0)
     answer_members(rig)
@@ -103,9 +103,9 @@
 def test_random_bytes_end_with_a_closed_connection(data: bytes, size: int) -> None:
     rig = Rig()
     for start in range(0, len(data), size):
-        rig.tell(ev.ClientData(1, data[start : start + size]))
+        rig.handle(ev.ClientData(1, data[start : start + size]))
         answer_members(rig)
-    rig.tell(ev.ClientEof(1))
+    rig.handle(ev.ClientEof(1))
     rig.wait(3.0)
     answer_members(rig)
     assert rig.closed_clients == [1]
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -14,7 +14,7 @@
 from banklift.emulator.world import World
 from banklift.net.service import MAX_KILL_EXTENSION_SECONDS, MIN_KILL_DELAY_SECONDS, Signals
 from banklift.pg import frames
-from tests.platform_site import SETTINGS, Caller, Site, code, value
+from tests.platform_site import SETTINGS, Site, SiteClient, code, value
 
 EVENT_COST = 0.002  # seconds of processor time for each event
 DEADLINE = 2.0  # seconds; the longest deadline of the site's classes
@@ -76,23 +76,23 @@
         assert site.catalogue.listener is not None
         site.catalogue.listener.close()
         site.catalogue.failing = True
-    silent, fresh = Caller(site), Caller(site)
+    silent, fresh = SiteClient(site), SiteClient(site)
     signalled_at = world.now()
     site.run(late)
     site.service.handle_signal(signal.SIGTERM, signalled_at)
     site.nodes["p"].answers.extend([lambda node, statement: None] * 2)
     site.run(1.41 - late)
-    silent.say(frames.query(site.write().encode()))
-    fresh.say(frames.query(site.read("view", "k").encode()))
-    half = Caller(site, start=False)
-    half.say(frames.startup("backend", "store")[:5])
+    silent.send(frames.query(site.write().encode()))
+    fresh.send(frames.query(site.read("view", "k").encode()))
+    half = SiteClient(site, start=False)
+    half.send(frames.startup("backend", "store")[:5])
     # 0.2 s are left to write everything, on a share of a core
     site.run(signalled_at + MIN_KILL_DELAY_SECONDS + DEADLINE - 0.2 - world.now())
-    assert code(silent.told()) == "40003"
-    assert [kind for kind, _ in fresh.told()] == ["T", "D", "C", "Z"]
+    assert code(silent.received_messages()) == "40003"
+    assert [kind for kind, _ in fresh.received_messages()] == ["T", "D", "C", "Z"]
     assert not site.machine.pending
     site.run(0.2)
-    assert half.ended and silent.ended and fresh.ended
+    assert half.closed and silent.closed and fresh.closed
     assert 0 < world.ended <= signalled_at + MIN_KILL_DELAY_SECONDS + DEADLINE
 
 
@@ -116,10 +116,10 @@
         assert site.catalogue.listener is not None
         site.catalogue.listener.close()
         site.catalogue.failing = True
-    resting = [Caller(site) for _ in range(8)]
+    resting = [SiteClient(site) for _ in range(8)]
     for caller in resting:
-        assert value(caller.ask(site.read("any", "k"), 0.1))
-    waiting = [Caller(site) for _ in range(16)]
+        assert value(caller.query(site.read("any", "k"), 0.1))
+    waiting = [SiteClient(site) for _ in range(16)]
     for node in site.nodes.values():
         node.answers.extend([lambda node, statement: None] * 24)
     # writes, some of which wait for a link, and reads, which are retried elsewhere
@@ -129,16 +129,17 @@
     signalled_at = world.now()
     site.service.handle_signal(signal.SIGTERM, signalled_at)
     site.run(0.65)
-    late = Caller(site, start=False)
-    late.say(frames.startup("backend", "store") + frames.query(site.write().encode()), 0.0)
-    half = Caller(site, start=False)
-    half.say(frames.startup("backend", "store") + frames.query(site.write().encode())[:40], 0.0)
+    late = SiteClient(site, start=False)
+    late.send(frames.startup("backend", "store") + frames.query(site.write().encode()), 0.0)
+    half = SiteClient(site, start=False)
+    half.send(frames.startup("backend", "store") + frames.query(site.write().encode())[:40], 0.0)
     site.run(signalled_at + MIN_KILL_DELAY_SECONDS + DEADLINE - world.now())
     assert not site.machine.pending and 0 < world.ended <= signalled_at + MIN_KILL_DELAY_SECONDS + DEADLINE
     for caller in waiting:
-        assert [kind for kind, _ in caller.told()] == ["E", "Z"] and caller.ended  # the nodes never answer
-    assert [kind for kind, _ in late.told()][-2:] in (["C", "Z"], ["E", "Z"])
-    assert half.ended and late.ended and all(caller.ended for caller in resting)
+        # the nodes never answer
+        assert [kind for kind, _ in caller.received_messages()] == ["E", "Z"] and caller.closed
+    assert [kind for kind, _ in late.received_messages()][-2:] in (["C", "Z"], ["E", "Z"])
+    assert half.closed and late.closed and all(caller.closed for caller in resting)
 
 
 REPORTS: dict[str, Any] = {
@@ -165,38 +166,39 @@
 @pytest.mark.parametrize("silent", [True, False])
 def test_a_request_with_a_deadline_after_the_kill_is_answered_before_it(silent: bool) -> None:
     site = Site(world=ServiceWorld(1), settings=REPORTS)
-    world, caller = cast(ServiceWorld, site.world), Caller(site)
+    world, caller = cast(ServiceWorld, site.world), SiteClient(site)
     for node in site.nodes.values():
         if silent:
             node.answers.extend([lambda node, statement: None] * 3)
         else:
             node.stop()  # no member can be reached, so the request waits in the router
-    caller.say(frames.query(site.read("report", "k", patience=8000).encode()), 0.5)
+    caller.send(frames.query(site.read("report", "k", timeout_ms=8000).encode()), 0.5)
     signalled_at = world.now()
     site.service.handle_signal(signal.SIGTERM, signalled_at)
     site.run(MIN_KILL_DELAY_SECONDS + MAX_KILL_EXTENSION_SECONDS - 0.2)
-    assert code(caller.told()) == "53300" and not site.machine.pending
+    assert code(caller.received_messages()) == "53300" and not site.machine.pending
     site.run(0.2)
     assert (
-        caller.ended and 0 < world.ended <= signalled_at + MIN_KILL_DELAY_SECONDS + MAX_KILL_EXTENSION_SECONDS
+        caller.closed
+        and 0 < world.ended <= signalled_at + MIN_KILL_DELAY_SECONDS + MAX_KILL_EXTENSION_SECONDS
     )
 
 
 def test_idle_connections_are_closed_gradually_and_those_without_a_request_last() -> None:
     site = Site(world=ServiceWorld(1))
     world = cast(ServiceWorld, site.world)
-    callers = [Caller(site) for _ in range(10)]
+    callers = [SiteClient(site) for _ in range(10)]
     for caller in callers:
-        caller.ask(site.read("any", "k"))
+        caller.query(site.read("any", "k"))
     signalled_at = world.now()
     site.service.handle_signal(signal.SIGTERM, signalled_at)
     left = []
     while world.now() < signalled_at + MIN_KILL_DELAY_SECONDS + DEADLINE - 0.6:
         site.run(0.1)
-        left.append(sum(not caller.ended for caller in callers))
+        left.append(sum(not caller.closed for caller in callers))
         if len(left) == 10:
-            new = Caller(site)
+            new = SiteClient(site)
     assert left[2] == 10  # within the first 0.3 s clients may still send
     steps = [before - after for before, after in itertools.pairwise(left)]
     assert max(steps) <= 3 and left[-1] == 0
-    assert not new.ended and len(new.ask(site.read("any", "k"), 0.05)) == 4
+    assert not new.closed and len(new.query(site.read("any", "k"), 0.05)) == 4
--- a/tests/test_many_members.py
+++ b/tests/test_many_members.py
@@ -11,7 +11,7 @@
 from banklift.emulator.world import World
 from banklift.net.service import Service, StartConfig, parse
 from banklift.net.sockets import SocketEnv
-from tests.platform_site import SETTINGS, Caller, Site, value
+from tests.platform_site import SETTINGS, Site, SiteClient, value
 
 MEMBERS, GROUPS, SOCKETS = 1100, 60, 512
 
@@ -55,12 +55,12 @@
 
 def check_that_all_groups_are_served(fleet: Fleet) -> None:
     """Send a write to every group, and reads that have to reach hundreds of members."""
-    caller = Caller(fleet)
+    caller = SiteClient(fleet)
     for group in range(GROUPS):
-        assert value(caller.ask(fleet.write(f"k{group}", cluster=group), 0.1))
+        assert value(caller.query(fleet.write(f"k{group}", cluster=group), 0.1))
     for round_number in range(10):
         for group in range(GROUPS):
-            assert value(caller.ask(fleet.read("any", f"k{group}-{round_number}", cluster=group), 0.1))
+            assert value(caller.query(fleet.read("any", f"k{group}-{round_number}", cluster=group), 0.1))
     assert sum(bool(node.seen) for node in fleet.nodes.values()) > 400
     assert len(fleet.machine.links) <= fleet.machine.limits.all_links < 300
 
@@ -88,11 +88,11 @@
 
 def test_the_longest_idle_link_is_closed_to_make_room() -> None:
     fleet = Fleet(known=True)
-    caller = Caller(fleet)
+    caller = SiteClient(fleet)
     max_links = fleet.machine.limits.all_links
     for round_number in range(12):
         for group in range(GROUPS):
-            assert value(caller.ask(fleet.read("any", f"k{round_number}", cluster=group)))
+            assert value(caller.query(fleet.read("any", f"k{round_number}", cluster=group)))
     assert len(fleet.machine.links) == max_links
     idle_since = [link.idle_since for link in fleet.machine.idle_links.values()]
     assert idle_since == sorted(idle_since)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -14,26 +14,26 @@
 from banklift.pg.statement import BadStatement, parse
 from banklift.pg.wire import parse_usage
 from banklift.proxy import events as ev
-from tests.platform_site import SETTINGS, Caller, Site, code, value
+from tests.platform_site import SETTINGS, Site, SiteClient, code, value
 
 # ---- clients
 
 
 def test_a_write_goes_to_the_primary_and_reads_see_it() -> None:
     site = Site()
-    caller = Caller(site)
-    assert value(caller.ask(site.write("k", "9f03"))) == b"\x9f\x03"
+    caller = SiteClient(site)
+    assert value(caller.query(site.write("k", "9f03"))) == b"\x9f\x03"
     assert len(site.nodes["p"].seen) == 1
     after = int(site.world.now() * 1000)
-    assert value(caller.ask(site.read("own", "k", after=after), 0.2)) == b"\x9f\x03"
-    assert value(caller.ask(site.read("any", "k"))) == b"\x9f\x03"
-    site.balanced()
+    assert value(caller.query(site.read("own", "k", after=after), 0.2)) == b"\x9f\x03"
+    assert value(caller.query(site.read("any", "k"))) == b"\x9f\x03"
+    site.assert_no_leftovers()
 
 
 def test_a_statement_is_forwarded_unchanged_except_for_its_remaining_time() -> None:
     site = Site()
-    text = site.write("k", "9f03", patience=1500)
-    Caller(site).ask(text)
+    text = site.write("k", "9f03", timeout_ms=1500)
+    SiteClient(site).query(text)
     (seen,) = site.nodes["p"].seen
     before, behind = text.encode().split(b"d=1500")
     assert seen.startswith(before + b"d=1") and seen.endswith(behind)
@@ -43,63 +43,65 @@
 
 def test_messages_may_arrive_byte_by_byte() -> None:
     site = Site()
-    caller = Caller(site, start=False)
+    caller = SiteClient(site, start=False)
     for byte in frames.startup("backend", "store") + frames.query(site.write().encode()):
-        caller.say(bytes([byte]), 0.0005)
+        caller.send(bytes([byte]), 0.0005)
     site.run(0.05)
-    assert [kind for kind, _ in caller.told()][-4:] == ["T", "D", "C", "Z"]
+    assert [kind for kind, _ in caller.received_messages()][-4:] == ["T", "D", "C", "Z"]
 
 
 def test_encryption_is_refused_and_a_query_may_follow_the_startup_at_once() -> None:
     site = Site()
-    caller = Caller(site, start=False)
-    caller.say(b"\0\0\0\x08\x04\xd2\x16\x2f")  # SSLRequest
+    caller = SiteClient(site, start=False)
+    caller.send(b"\0\0\0\x08\x04\xd2\x16\x2f")  # SSLRequest
     assert caller.received == b"N"
     caller.received = b""
-    caller.say(frames.startup("backend", "store") + frames.query(site.write().encode()))
-    assert [kind for kind, _ in caller.told()][-4:] == ["T", "D", "C", "Z"]
+    caller.send(frames.startup("backend", "store") + frames.query(site.write().encode()))
+    assert [kind for kind, _ in caller.received_messages()][-4:] == ["T", "D", "C", "Z"]
 
 
 def test_an_empty_query_a_cancel_request_and_terminate() -> None:
     site = Site()
-    caller = Caller(site)
-    assert [kind for kind, _ in caller.ask("")] == ["I", "Z"]
-    caller.say(frames.message(b"X", b""))
-    assert caller.ended
-    other = Caller(site, start=False)
-    other.say(b"\0\0\0\x10\x04\xd2\x16\x2e" + b"\0" * 8)
-    assert other.ended and not site.front.clients
+    caller = SiteClient(site)
+    assert [kind for kind, _ in caller.query("")] == ["I", "Z"]
+    caller.send(frames.message(b"X", b""))
+    assert caller.closed
+    other = SiteClient(site, start=False)
+    other.send(b"\0\0\0\x10\x04\xd2\x16\x2e" + b"\0" * 8)
+    assert other.closed and not site.front.clients
 
 
 def test_answers_go_out_in_the_order_of_the_commands() -> None:
     site = Site(delay=0.02)
-    caller = Caller(site)
+    caller = SiteClient(site)
     site.nodes["p"].answers.append(lambda node, statement: None)  # the primary never answers the first write
     first, second = site.write("a", "01"), site.read("any", "b")
-    caller.say(frames.query(first.encode()) + frames.query(second.encode()) + frames.query(b""), 0.3)
-    assert caller.told() == []  # the read is answered, but waits for the write in front of it
+    caller.send(frames.query(first.encode()) + frames.query(second.encode()) + frames.query(b""), 0.3)
+    assert caller.received_messages() == []  # the read is answered, but waits for the write in front of it
     site.run(2.0)
-    told = caller.told()
+    told = caller.received_messages()
     assert [kind for kind, _ in told] == ["E", "Z", "T", "D", "C", "Z", "I", "Z"]
     assert code(told) == "40003"
 
 
 def test_at_most_16_pipelined_commands_are_pending_at_once() -> None:
     site = Site(delay=0.02)
-    caller = Caller(site)
-    caller.say(b"".join(frames.query(site.read("any", f"k{number}").encode()) for number in range(300)), 0.01)
+    caller = SiteClient(site)
+    caller.send(
+        b"".join(frames.query(site.read("any", f"k{number}").encode()) for number in range(300)), 0.01
+    )
     assert 0 < len(site.machine.pending) <= 16
     site.run(3.0)
-    assert len([kind for kind, _ in caller.told() if kind == "Z"]) == 300
-    site.balanced()
+    assert len([kind for kind, _ in caller.received_messages() if kind == "Z"]) == 300
+    site.assert_no_leftovers()
 
 
 BAD_STATEMENTS: list[tuple[str, Callable[[Site], str]]] = [
     ("22023", lambda site: site.read("nonsense")),
     ("22023", lambda site: site.read(t="nobody")),
     ("22023", lambda site: site.read("save")),
-    ("22023", lambda site: site.write(kind="view")),
-    ("22023", lambda site: site.read(patience=10**9)),
+    ("22023", lambda site: site.write(class_name="view")),
+    ("22023", lambda site: site.read(timeout_ms=10**9)),
     ("22023", lambda site: site.read().replace("d=2000", "d=-5")),
     ("22023", lambda site: site.read().replace("d=2000", "d=soon")),
     ("22023", lambda site: site.read().replace("d=2000", "d=1e3")),
@@ -122,31 +124,32 @@
     expected: str, text: Callable[[Site], str]
 ) -> None:
     site = Site()
-    caller, other = Caller(site), Caller(site)
-    assert code(caller.ask(text(site))) == expected
+    caller, other = SiteClient(site), SiteClient(site)
+    assert code(caller.query(text(site))) == expected
     assert not any(node.seen for node in site.nodes.values())
-    assert value(caller.ask(site.write()))  # this connection and the others are still usable
-    assert value(other.ask(site.write()))
-    site.balanced()
+    assert value(caller.query(site.write()))  # this connection and the others are still usable
+    assert value(other.query(site.write()))
+    site.assert_no_leftovers()
 
 
 def test_a_client_is_closed_at_its_third_bad_statement() -> None:
     site = Site()
-    caller = Caller(site)
+    caller = SiteClient(site)
     for _ in range(2):
-        assert code(caller.ask("SELECT 1")) == "42601" and not caller.ended
-    caller.ask("SELECT 1")
-    assert caller.ended
+        assert code(caller.query("SELECT 1")) == "42601" and not caller.closed
+    caller.query("SELECT 1")
+    assert caller.closed
 
 
 def test_the_id_of_a_pending_request_is_refused_to_another_client() -> None:
     site = Site(delay=0.1)
-    first, second = Caller(site), Caller(site)
-    first.say(frames.query(site.write("a", "01", id="feed").encode()))
-    assert code(second.ask(site.write("b", "02", id="feed"))) == "42710"
+    first, second = SiteClient(site), SiteClient(site)
+    first.send(frames.query(site.write("a", "01", id="feed").encode()))
+    assert code(second.query(site.write("b", "02", id="feed"))) == "42710"
     site.run(0.2)
-    assert value(first.told()) == b"\x01"
-    assert value(second.ask(site.write("b", "02", id="feed"), 0.2)) == b"\x02"  # the first request has ended
+    assert value(first.received_messages()) == b"\x01"
+    # the first request has ended
+    assert value(second.query(site.write("b", "02", id="feed"), 0.2)) == b"\x02"
     assert len(site.nodes["p"].seen) == 2
 
 
@@ -171,9 +174,9 @@
 )
 def test_a_framing_fault_gets_a_fatal_error_and_a_close(data: bytes) -> None:
     site = Site()
-    caller = Caller(site, start=False)
-    caller.say(data)
-    assert caller.ended and caller.received.count(b"VFATAL\0") == 1
+    caller = SiteClient(site, start=False)
+    caller.send(data)
+    assert caller.closed and caller.received.count(b"VFATAL\0") == 1
     assert not site.front.clients and not any(node.seen for node in site.nodes.values())
 
 
@@ -183,78 +186,78 @@
 @pytest.mark.parametrize("data", [b"", b"\0\0", START[:9], START, START + b"Q\0\0\x01"])
 def test_a_silent_client_or_half_a_message_is_closed_within_three_seconds(data: bytes) -> None:
     site = Site()
-    caller = Caller(site, start=False)
-    caller.say(data)
+    caller = SiteClient(site, start=False)
+    caller.send(data)
     site.run(1.5)
-    assert not caller.ended
+    assert not caller.closed
     site.run(1.0)
-    assert caller.ended and not site.front.clients
+    assert caller.closed and not site.front.clients
 
 
 def test_half_a_message_behind_a_whole_one_is_closed_too() -> None:
     site = Site()
-    caller = Caller(site)
-    caller.say(frames.query(site.write().encode()) + b"Q\0\0\x01")
-    assert value(caller.told())
+    caller = SiteClient(site)
+    caller.send(frames.query(site.write().encode()) + b"Q\0\0\x01")
+    assert value(caller.received_messages())
     site.run(2.5)
-    assert caller.ended
+    assert caller.closed
 
 
 def test_hundreds_of_silent_connections_do_not_keep_a_client_out() -> None:
     site = Site(sockets=128)
-    silent = [Caller(site, start=False) for _ in range(200)]
+    silent = [SiteClient(site, start=False) for _ in range(200)]
     site.run(0.01)
     assert len(site.front.clients) == site.machine.limits.clients < 64
-    usual = Caller(site)
-    assert value(usual.ask(site.write()))
-    assert sum(caller.ended for caller in silent) > 140
+    usual = SiteClient(site)
+    assert value(usual.query(site.write()))
+    assert sum(caller.closed for caller in silent) > 140
 
 
 def test_a_client_above_the_limit_is_refused_while_no_other_is_idle() -> None:
     site = Site(sockets=64, delay=0.5)
-    callers = [Caller(site) for _ in range(site.machine.limits.clients)]
+    callers = [SiteClient(site) for _ in range(site.machine.limits.clients)]
     for caller in callers:
-        caller.say(frames.query(site.read("any").encode()), 0.001)
-    late = Caller(site, start=False)
-    late.say(frames.startup("backend", "store"))
-    assert late.ended and code(late.told()) == "53300"
+        caller.send(frames.query(site.read("any").encode()), 0.001)
+    late = SiteClient(site, start=False)
+    late.send(frames.startup("backend", "store"))
+    assert late.closed and code(late.received_messages()) == "53300"
     assert len(site.front.clients) == len(callers)
 
 
 def test_a_write_in_flight_runs_once_though_its_client_disconnects() -> None:
     site = Site(delay=0.2)
-    caller = Caller(site)
-    caller.say(frames.query(site.write("k", "01").encode()))
+    caller = SiteClient(site)
+    caller.send(frames.query(site.write("k", "01").encode()))
     assert site.nodes["p"].open == 1
     caller.handle.close()
     site.run(0.05)
     assert not site.machine.pending and not site.front.clients
     site.run(0.5)
     assert len(site.nodes["p"].seen) == 1  # the write ran once
-    site.balanced()
+    site.assert_no_leftovers()
 
 
 def test_idle_clients_are_closed_after_the_idle_timeout() -> None:
     site = Site()
-    caller = Caller(site)
-    assert value(caller.ask(site.write()))
+    caller = SiteClient(site)
+    assert value(caller.query(site.write()))
     site.run(1.7)
-    assert value(caller.ask(site.write()))
+    assert value(caller.query(site.write()))
     site.run(1.7)
-    assert not caller.ended
+    assert not caller.closed
     site.run(0.8)
-    assert caller.ended
+    assert caller.closed
 
 
 def test_idle_clients_are_closed_sooner_while_many_connections_are_in_use() -> None:
     """With the usual timeout of two seconds, clients that query once and stay connected would keep new clients out."""
     site = Site(sockets=64)
-    callers = [Caller(site) for _ in range(site.machine.limits.clients * 3 // 4)]
+    callers = [SiteClient(site) for _ in range(site.machine.limits.clients * 3 // 4)]
     for caller in callers:
-        caller.say(frames.query(site.write().encode()))
-        assert value(caller.told())
+        caller.send(frames.query(site.write().encode()))
+        assert value(caller.received_messages())
     site.run(1.0)
-    assert sum(caller.ended for caller in callers) >= len(callers) // 3
+    assert sum(caller.closed for caller in callers) >= len(callers) // 3
     assert len(site.front.clients) < 0.5 * site.machine.limits.clients
 
 
@@ -265,7 +268,7 @@
     site = Site()
     for node in site.nodes.values():
         node.stop()
-    (told,) = [body for kind, body in Caller(site).ask(site.write(), 1.5) if kind == "E"]
+    (told,) = [body for kind, body in SiteClient(site).query(site.write(), 1.5) if kind == "E"]
     fields = frames.error_fields(told)
     assert (fields["C"], fields["D"]) == ("53300", "1000")
 
@@ -274,12 +277,12 @@
     site = Site()
     for node in site.nodes.values():
         node.stop()
-    caller = Caller(site)
-    caller.say(frames.query(site.write().encode()), 0.5)
-    assert caller.told() == []
+    caller = SiteClient(site)
+    caller.send(frames.query(site.write().encode()), 0.5)
+    assert caller.received_messages() == []
     site.run(0.45)
-    assert code(caller.told()) == "53300"
-    site.balanced()
+    assert code(caller.received_messages()) == "53300"
+    site.assert_no_leftovers()
 
 
 # ---- members
@@ -322,25 +325,25 @@
 @pytest.mark.parametrize("answer", [answer for _, answer in MALFORMED], ids=[name for name, _ in MALFORMED])
 def test_a_malformed_answer_has_an_unknown_outcome_and_closes_its_link(answer: bytes) -> None:
     site = Site()
-    caller = Caller(site)
-    assert value(caller.ask(site.write("k", "01")))
+    caller = SiteClient(site)
+    assert value(caller.query(site.write("k", "01")))
     site.run(0.01)
     links = {peer for peer in site.nodes["p"].connections if peer.asked}
     site.nodes["p"].answers.append(lambda node, statement: answer)
-    told = caller.ask(site.write("k", "02"), 0.2)  # half an answer is given up before the deadline
+    told = caller.query(site.write("k", "02"), 0.2)  # half an answer is given up before the deadline
     assert code(told) == "40003"
     assert len(site.nodes["p"].seen) == 2  # an unsafe write is not retried
     assert links and not links & site.nodes["p"].connections
-    site.balanced()
+    site.assert_no_leftovers()
 
 
 def test_a_read_with_a_malformed_answer_is_retried_on_another_member() -> None:
     site = Site()
-    caller = Caller(site)
+    caller = SiteClient(site)
     malformed = [b"\0noise"]
     for node in site.nodes.values():
         node.answers.append(lambda node, statement: malformed.pop() if malformed else node.answer(statement))
-    assert value(caller.ask(site.read("any"), 0.2)) == b"none"
+    assert value(caller.query(site.read("any"), 0.2)) == b"none"
     assert sum(len(node.seen) for node in site.nodes.values()) == 2
 
 
@@ -352,7 +355,7 @@
     more: bytes, later: bool
 ) -> None:
     site = Site()
-    caller = Caller(site)
+    caller = SiteClient(site)
     primary = site.nodes["p"]
 
     def answer(node: PgNode, statement: bytes) -> bytes:
@@ -364,14 +367,14 @@
         return usual
 
     primary.answers.append(answer)
-    caller.say(
+    caller.send(
         frames.query(site.write("k", "01").encode()) + frames.query(site.write("k", "02").encode()), 0.0012
     )
     site.run(0.2)
-    told = caller.told()
+    told = caller.received_messages()
     assert [kind for kind, _ in told] == ["T", "D", "C", "Z"] * 2
     assert frames.single_value(told[4][1], told[5][1]) == b"\x02"  # the second write's own answer
-    site.balanced()
+    site.assert_no_leftovers()
 
 
 def test_an_unparsable_load_report_does_not_affect_its_answer() -> None:
@@ -383,7 +386,7 @@
             + frames.READY_FOR_QUERY
         )
     )
-    assert value(Caller(site).ask(site.write("k", "01"))) == b"\x01"
+    assert value(SiteClient(site).query(site.write("k", "01"))) == b"\x01"
 
 
 def test_a_position_ahead_of_the_clock_is_dropped() -> None:
@@ -391,8 +394,8 @@
     ahead = frames.parameter_status("commit_clock", str(int((site.world.now() + 60) * 1000)))
     for node in site.nodes.values():
         node.answers.append(lambda node, statement: row(b"x") + ahead + frames.READY_FOR_QUERY)
-    caller = Caller(site)
-    caller.ask(site.read("any"), 0.1)
+    caller = SiteClient(site)
+    caller.query(site.read("any"), 0.1)
     assert all(member.position <= site.world.now() for member in site.machine.balancer.members.values())
 
 
@@ -412,27 +415,27 @@
         node.answers.extend(
             [lambda node, statement: frames.error_response(error, "no") + frames.READY_FOR_QUERY] * 20
         )
-    caller = Caller(site)
-    told = caller.ask(site.write("k", "01"), 2.2)
+    caller = SiteClient(site)
+    told = caller.query(site.write("k", "01"), 2.2)
     assert code(told) == expected
     assert (len(site.nodes["p"].seen) == 1) or expected == "53300"
-    site.balanced()
+    site.assert_no_leftovers()
 
 
 def test_a_write_whose_link_breaks_has_an_unknown_outcome() -> None:
     site = Site(delay=0.05)
-    caller = Caller(site)
-    caller.say(frames.query(site.write().encode()))
+    caller = SiteClient(site)
+    caller.send(frames.query(site.write().encode()))
     site.nodes["p"].stop()
     site.run(0.1)
-    assert code(caller.told()) == "40003"
-    site.balanced()
+    assert code(caller.received_messages()) == "40003"
+    site.assert_no_leftovers()
 
 
 def test_writes_to_a_silent_primary_fail_by_their_deadline_and_late_answers_are_dropped() -> None:
     site = Site()
-    caller = Caller(site)
-    assert value(caller.ask(site.write("k", "01")))
+    caller = SiteClient(site)
+    assert value(caller.query(site.write("k", "01")))
     late_answers: list[Callable[[], None]] = []
 
     def silent(node: PgNode, statement: bytes) -> bytes | None:
@@ -441,23 +444,23 @@
         return None
 
     site.nodes["p"].answers.append(silent)
-    told = caller.ask(site.write("k", "02"), 2.0)
+    told = caller.query(site.write("k", "02"), 2.0)
     assert code(told) == "40003"
     late_answers[0]()
-    assert value(caller.ask(site.write("k", "03"), 0.5)) == b"\x03"
-    site.balanced()
+    assert value(caller.query(site.write("k", "03"), 0.5)) == b"\x03"
+    site.assert_no_leftovers()
 
 
 def test_a_draining_member_gets_no_request_and_its_idle_links_close() -> None:
     site = Site()
-    caller = Caller(site)
+    caller = SiteClient(site)
     for _ in range(8):
-        assert value(caller.ask(site.read("any"))) == b"none"
+        assert value(caller.query(site.read("any"))) == b"none"
     site.catalogue.list("r1", site.nodes["r1"].address, state="DRAINING")
     site.run(0.05)
     before = len(site.nodes["r1"].seen)
     for _ in range(8):
-        assert value(caller.ask(site.read("any"))) == b"none"
+        assert value(caller.query(site.read("any"))) == b"none"
     assert len(site.nodes["r1"].seen) == before
     assert all(peer.open == 0 for peer in site.nodes["r1"].connections)
     site.catalogue.list("r1", site.nodes["r1"].address, state="DELETED")
@@ -468,8 +471,8 @@
 
 def test_a_new_id_at_an_old_address_is_a_new_member_and_a_moved_member_is_used_at_its_new_address() -> None:
     site = Site()
-    caller = Caller(site)
-    caller.ask(site.read("any"))
+    caller = SiteClient(site)
+    caller.query(site.read("any"))
     address = site.nodes["r1"].address
     site.catalogue.list("r1", address, state="DELETED")
     site.catalogue.list("r9", address)
@@ -479,7 +482,7 @@
     assert sorted(site.machine.members) == ["p", "r2", "r9"]
     assert site.machine.members["r2"].address == moved.address
     for _ in range(30):
-        assert value(caller.ask(site.read("any"))) == b"none"
+        assert value(caller.query(site.read("any"))) == b"none"
     assert moved.seen and not site.nodes["r2"].connections
     assert len(site.machine.balancer.members) == 3
 
@@ -487,29 +490,29 @@
 def test_links_stay_within_their_limit_under_load() -> None:
     site = Site(sockets=64, delay=0.3)
     most = site.machine.limits.all_links
-    callers = [Caller(site) for _ in range(site.machine.limits.clients)]
+    callers = [SiteClient(site) for _ in range(site.machine.limits.clients)]
     for turn in range(3):
         for caller in callers:
-            caller.say(frames.query(site.read("any", f"k{turn}").encode()), 0.001)
+            caller.send(frames.query(site.read("any", f"k{turn}").encode()), 0.001)
         assert len(site.machine.links) <= most
         site.run(0.7)
         assert len(site.machine.links) <= most
-    site.balanced()
+    site.assert_no_leftovers()
 
 
 def test_ended_requests_clients_and_members_leave_no_state() -> None:
     site = Site()
     for turn in range(40):
-        caller = Caller(site)
-        assert value(caller.ask(site.write(f"key{turn}")))
-        caller.ask(site.read("own", f"key{turn}"), 0.05)
+        caller = SiteClient(site)
+        assert value(caller.query(site.write(f"key{turn}")))
+        caller.query(site.read("own", f"key{turn}"), 0.05)
         caller.handle.close()
         site.catalogue.list(f"n{turn}", "10.0.0.3:6432")
         site.run(0.02)
         site.catalogue.list(f"n{turn}", "10.0.0.3:6432", state="DELETED")
         site.run(0.02)
     site.run(30.0)
-    site.balanced()
+    site.assert_no_leftovers()
     machine, balancer = site.machine, site.machine.balancer
     assert len(machine.members) == len(machine.members_by_balancer_name) == len(balancer.members) == 3
     assert not machine.pending and not site.front.clients and not balancer.sessions
@@ -552,26 +555,26 @@
 
 def test_a_member_deleted_without_a_drain_is_still_used_if_the_rules_allow_it() -> None:
     site = Site(settings=VANISHED)
-    caller = Caller(site)
-    assert value(caller.ask(site.write("k", "01")))
+    caller = SiteClient(site)
+    assert value(caller.query(site.write("k", "01")))
     site.catalogue.list("p", site.nodes["p"].address, state="DELETED")
     site.run(0.1)
-    assert value(caller.ask(site.write("k", "02"))) == b"\x02"
+    assert value(caller.query(site.write("k", "02"))) == b"\x02"
     site.catalogue.list("p", site.nodes["p"].address, state="DRAINING")
     site.catalogue.list("p", site.nodes["p"].address, state="DELETED")
     site.run(0.1)
     assert "p" not in site.machine.members and "p" not in site.machine.balancer.members
-    site.balanced()
+    site.assert_no_leftovers()
 
 
 def test_a_moved_member_is_replaced_also_if_deleted_members_stay_in_use() -> None:
     site = Site(settings=VANISHED)
-    caller = Caller(site)
+    caller = SiteClient(site)
     moved = PgNode(site.world, "10.0.0.9:6432", True, store=site.nodes["p"].store).start()
     site.nodes["p"].stop()
     site.catalogue.list("p", moved.address, writes=True)
     site.run(0.1)
-    assert value(caller.ask(site.write(), 0.5)) and len(moved.seen) == 1
+    assert value(caller.query(site.write(), 0.5)) and len(moved.seen) == 1
     assert len(site.machine.balancer.members) == 3
 
 
@@ -579,20 +582,20 @@
     site = Site()
     # the module may still know a member that the machine has dropped
     del site.machine.members_by_balancer_name["p"]
-    caller = Caller(site)
-    told = caller.ask(site.write(patience=1500), 1.6)
+    caller = SiteClient(site)
+    told = caller.query(site.write(timeout_ms=1500), 1.6)
     assert code(told) == "53300" and not site.machine.pending and not site.machine.balancer.requests
 
 
 def test_a_group_missing_from_the_roster_is_refused_and_counts_as_no_fault_of_the_client() -> None:
     site = Site()
-    caller = Caller(site)
+    caller = SiteClient(site)
     for cluster in range(70, 76):  # more often than bad statements are accepted
-        assert code(caller.ask(site.read("any", cluster=cluster))) == "53300"
-    assert not caller.ended and set(site.machine.balancer.groups) == {0} and not site.machine.pending
+        assert code(caller.query(site.read("any", cluster=cluster))) == "53300"
+    assert not caller.closed and set(site.machine.balancer.groups) == {0} and not site.machine.pending
     site.catalogue.list("n", site.nodes["r1"].address, group=70)
     site.run(0.1)
-    assert value(caller.ask(site.read("any", cluster=70), 0.2))
+    assert value(caller.query(site.read("any", cluster=70), 0.2))
 
 
 # ---- probes
@@ -616,12 +619,12 @@
 
 def test_probes_share_the_links_of_requests() -> None:
     site = Site()
-    caller = Caller(site)
-    assert value(caller.ask(site.write()))
+    caller = SiteClient(site)
+    assert value(caller.query(site.write()))
     node = site.nodes["p"]
     for _ in range(5):
         probe(site, "p")
-        assert value(caller.ask(site.write()))
+        assert value(caller.query(site.write()))
     assert node.probes >= 5 and len(node.connections) == 1
     assert site.machine.members["p"].probe_link is None and not site.machine.members["p"].pending_probes
 
@@ -645,7 +648,7 @@
     node.usage = lambda: b""  # type: ignore[method-assign]
     probe(site, "p")
     site.run(0.08)
-    assert value(Caller(site).ask(site.write(), 0.2))
+    assert value(SiteClient(site).query(site.write(), 0.2))
     site.run(0.3)
     assert known.probe_link is None and not known.pending_probes and len(node.connections) == 1
 
@@ -655,22 +658,22 @@
 
 def test_requests_that_arrive_during_the_drain_are_answered_by_its_end() -> None:
     site = Site()
-    caller, idle = Caller(site), Caller(site)
-    assert value(idle.ask(site.write())) and value(caller.ask(site.write()))
+    caller, idle = SiteClient(site), SiteClient(site)
+    assert value(idle.query(site.write())) and value(caller.query(site.write()))
     site.host.drain(site.world.now() + 2.6)
     site.run(0.3)
-    assert not idle.ended  # new clients still connect to this router
+    assert not idle.closed  # new clients still connect to this router
     site.nodes["p"].answers.append(lambda node, statement: None)
-    caller.say(frames.query(site.write(patience=5000).encode()), 2.0)
-    late = Caller(site)
-    assert value(late.ask(site.read("any")))
-    assert late.ended and not caller.ended  # there is no time left for another query
+    caller.send(frames.query(site.write(timeout_ms=5000).encode()), 2.0)
+    late = SiteClient(site)
+    assert value(late.query(site.read("any")))
+    assert late.closed and not caller.closed  # there is no time left for another query
     site.host.leave()
     site.run(0.01)
-    assert idle.ended and not caller.ended
+    assert idle.closed and not caller.closed
     site.run(0.3)
-    assert code(caller.told()) == "40003" and caller.ended
-    site.balanced()
+    assert code(caller.received_messages()) == "40003" and caller.closed
+    site.assert_no_leftovers()
 
 
 # ---- random input for the codec and the parser; links and probes
@@ -693,13 +696,13 @@
 
 def test_clients_that_send_random_bytes_do_not_disturb_others() -> None:
     site, rng = Site(), random.Random(6)
-    usual = Caller(site)
+    usual = SiteClient(site)
     for turn in range(200):
-        caller = Caller(site, start=False)
+        caller = SiteClient(site, start=False)
         data = frames.startup("backend", "store") if turn % 2 else b""
-        caller.say(data + rng.randbytes(rng.randrange(1, 200)))
+        caller.send(data + rng.randbytes(rng.randrange(1, 200)))
         if turn % 40 == 0:
-            assert value(usual.ask(site.write()))
+            assert value(usual.query(site.write()))
     site.run(3.0)
     assert not site.front.clients and not any(
         b"SELECT" in seen for node in site.nodes.values() for seen in node.seen
@@ -709,24 +712,24 @@
 def test_thousands_of_empty_queries_in_one_read_are_answered_without_recursion() -> None:
     """An empty query is answered at once, so reading continues from within the answer: this must not nest calls."""
     site = Site()
-    caller = Caller(site)
-    caller.say(frames.query(b"") * 20_000, 0.1)
-    assert [kind for kind, _ in caller.told()] == ["I", "Z"] * 20_000
-    assert value(caller.ask(site.write()))
+    caller = SiteClient(site)
+    caller.send(frames.query(b"") * 20_000, 0.1)
+    assert [kind for kind, _ in caller.received_messages()] == ["I", "Z"] * 20_000
+    assert value(caller.query(site.write()))
 
 
 def test_requests_open_new_links_rather_than_wait_for_a_resting_one() -> None:
     site = Site(delay=0.1)
-    callers = [Caller(site) for _ in range(4)]
-    assert value(callers[0].ask(site.write("a"), 0.2))
+    callers = [SiteClient(site) for _ in range(4)]
+    assert value(callers[0].query(site.write("a"), 0.2))
     # When this returns, the link has been answered less than its rest time ago.
-    callers[0].say(frames.query(site.write("b").encode()), 0.1009)
+    callers[0].send(frames.query(site.write("b").encode()), 0.1009)
     for caller in callers:
         caller.handle.send(frames.query(site.write("c").encode()))
     site.run(0.13)
     assert len(site.nodes["p"].seen) == 6
     site.run(0.2)
-    site.balanced()
+    site.assert_no_leftovers()
 
 
 def test_a_probe_queued_behind_a_malformed_answer_ends_too() -> None:
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -100,15 +100,15 @@
     rig = Rig(queue=2)
     rig.offsets.clear()  # no member answers, so all requests are held
     for _ in range(3):
-        rig.ask("SET", "note:1", "a")
+        rig.send_command("SET", "note:1", "a")
     assert rig.answer() == b""  # a client gets its answers in the order of its requests
-    rig.tell(ev.ClientOpened(2))
-    rig.ask("SET", "note:1", "a", client=2)
+    rig.handle(ev.ClientOpened(2))
+    rig.send_command("SET", "note:1", "a", client=2)
     assert rig.answer(2) == b""  # the first client's third request waits for its turn and is not pending
-    rig.tell(ev.ClientOpened(3))
-    rig.ask("SET", "note:1", "a", client=3)
+    rig.handle(ev.ClientOpened(3))
+    rig.send_command("SET", "note:1", "a", client=3)
     assert rig.answer(3) == b"-TRYAGAIN refused: nothing ran; retry_after_ms=1000\r\n"
-    rig.ask("SET", "pick:1", "a", client=3)  # another class
+    rig.send_command("SET", "pick:1", "a", client=3)  # another class
     assert rig.answer(3) == b""
 
 
@@ -116,8 +116,8 @@
     """An attempt beyond the bound never goes to the member. The balancer holds its request, which ends in time."""
     rig = Rig(links=1, waiting=2)
     for client in range(2, 12):
-        rig.tell(ev.ClientOpened(client))
-        rig.ask("GET", "alert:1", client=client)
+        rig.handle(ev.ClientOpened(client))
+        rig.send_command("GET", "alert:1", client=client)
     assert {member.name: member.waiting_count for member in rig.machine.members.values()} == {"p": 2, "r": 2}
     rig.wait(3.0)
     assert all(rig.answer(client) for client in range(2, 12)) and not rig.machine.pending
@@ -126,18 +126,18 @@
 def test_nothing_remains_after_a_flood_of_requests() -> None:
     """All clients leave, in any order. No queue, timer or heap keeps any of their requests."""
     rig = Rig(links=4, waiting=50)
-    rig.ask("SET", "note:1", "a")
-    link = rig.up("p:1")
-    rig.tell(ev.LinkData(link, b"+OK\r\n" + info(True, 9)))
+    rig.send_command("SET", "note:1", "a")
+    link = rig.connect("p:1")
+    rig.handle(ev.LinkData(link, b"+OK\r\n" + info(True, 9)))
     clients = list(range(2, 402))
     for client in clients:
-        rig.tell(ev.ClientOpened(client))
-        rig.ask("SET" if client % 2 else "GET", "note:1", *("a",) * (client % 2), client=client)
+        rig.handle(ev.ClientOpened(client))
+        rig.send_command("SET" if client % 2 else "GET", "note:1", *("a",) * (client % 2), client=client)
     machine = rig.machine
     assert len(machine.pending) > 300
     Random(1).shuffle(clients)
     for client in clients:
-        rig.tell(ev.ClientLost(client))
+        rig.handle(ev.ClientLost(client))
     rig.wait(1.0)
     group = machine.balancer.groups[0]
     assert not machine.pending and not machine.in_flight and not machine.balancer.requests
@@ -156,8 +156,8 @@
 def test_an_overdue_request_is_given_up_for_those_behind_it_in_a_pipeline() -> None:
     """A write in flight has two seconds, the read pipelined behind it 1.2: both are answered by the read's deadline."""
     rig = Rig()
-    rig.tell(ev.ClientData(1, command("SET", "pick:1", "a") + command("GET", "alert:1") + command("PING")))
-    rig.up("p:1")
+    rig.handle(ev.ClientData(1, command("SET", "pick:1", "a") + command("GET", "alert:1") + command("PING")))
+    rig.connect("p:1")
     rig.wait(1.15)
     assert rig.answer() == b""
     rig.wait(0.05)
@@ -168,12 +168,12 @@
 
 def test_an_unsafe_write_in_flight_that_is_given_up_fails_as_uncertain() -> None:
     rig = Rig()
-    rig.tell(ev.ClientData(1, command("SET", "pick:1", "a") + command("GET", "alert:1")))
-    link = rig.up("p:1")
+    rig.handle(ev.ClientData(1, command("SET", "pick:1", "a") + command("GET", "alert:1")))
+    link = rig.connect("p:1")
     rig.wait(1.2)
     assert rig.answer().startswith(b"-UNCERTAIN failed: it may have run")
     assert link in rig.closed  # so its late answer cannot reach another request
-    rig.ask("SET", "pick:1", "b")  # the client may send again
+    rig.send_command("SET", "pick:1", "b")  # the client may send again
     assert (
         any(b"\r\nb\r\n" in data for other, data in rig.sent.items() if other != link) or rig.machine.pending
     )
@@ -201,10 +201,10 @@
 
 def test_wait_may_delay_the_requests_behind_it() -> None:
     rig = Rig()
-    rig.ask("SET", "note:1", "a")
-    rig.tell(ev.LinkData(rig.up("p:1"), b"+OK\r\n" + info(True, 50)))
+    rig.send_command("SET", "note:1", "a")
+    rig.handle(ev.LinkData(rig.connect("p:1"), b"+OK\r\n" + info(True, 50)))
     rig.answer()
-    rig.tell(ev.ClientData(1, command("WAIT", 2, 3000) + command("GET", "alert:1")))
+    rig.handle(ev.ClientData(1, command("WAIT", 2, 3000) + command("GET", "alert:1")))
     rig.wait(2.9)
     assert rig.answer() == b""
     rig.wait(0.2)
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -17,7 +17,7 @@
 from banklift.net.sockets import SocketEnv
 from banklift.pg import frames
 from banklift.proxy.machine import LATE_CONNECT_GRACE
-from tests.platform_site import SETTINGS, Caller, Site, code, value
+from tests.platform_site import SETTINGS, Site, SiteClient, code, value
 
 NO_PROBES: dict[str, Any] = {**SETTINGS, "allowed": {**SETTINGS["allowed"], "probing": False}}
 
@@ -50,8 +50,8 @@
 def test_a_bounded_read_whose_proof_ages_while_it_waits_for_a_connection_does_not_leave() -> None:
     """The data that a replica is known to have is 0.8 s old when its connection comes up 0.2 s late."""
     site = Site(settings=NO_PROBES)
-    caller = Caller(site)
-    assert value(caller.ask(site.read("own", "k", after=1)))  # the balancer learns roles from answers alone
+    caller = SiteClient(site)
+    assert value(caller.query(site.read("own", "k", after=1)))  # the balancer learns roles from answers alone
     for name in ("r1", "r2"):
         member = site.machine.balancer.members[name]
         member.position = site.world.now() - 0.7  # 0.1 s short of the bound
@@ -60,20 +60,20 @@
     site.run(0.005)
     site.machine.balancer.members["p"].load = 1e6  # so the balancer chooses a replica
     seen = {name: len(node.seen) for name, node in site.nodes.items()}
-    caller.say(frames.query(site.read("view", "k").encode()), 0.01)
+    caller.send(frames.query(site.read("view", "k").encode()), 0.01)
     assert len(site.machine.in_flight) == 1
     site.machine.balancer.members["p"].load = 0.0  # so the primary may serve it later
     site.run(0.3)
     for name in ("r1", "r2"):
         assert len(site.nodes[name].seen) == seen[name]
-    assert len(site.nodes["p"].seen) == seen["p"] + 1 and value(caller.told())
-    site.balanced()
+    assert len(site.nodes["p"].seen) == seen["p"] + 1 and value(caller.received_messages())
+    site.assert_no_leftovers()
 
 
 def test_a_bounded_read_whose_proof_still_holds_leaves_when_its_connection_comes_up() -> None:
     site = Site(settings=NO_PROBES)
-    caller = Caller(site)
-    assert value(caller.ask(site.read("own", "k", after=1)))
+    caller = SiteClient(site)
+    assert value(caller.query(site.read("own", "k", after=1)))
     for name in ("r1", "r2"):
         site.machine.balancer.members[name].position = site.world.now() - 0.4
         cut_off(site, name)
@@ -81,9 +81,9 @@
     site.run(0.005)
     site.machine.balancer.members["p"].load = 1e6
     seen = len(site.nodes["p"].seen)
-    caller.say(frames.query(site.read("view", "k").encode()), 0.3)
-    assert len(site.nodes["p"].seen) == seen and value(caller.told())
-    site.balanced()
+    caller.send(frames.query(site.read("view", "k").encode()), 0.3)
+    assert len(site.nodes["p"].seen) == seen and value(caller.received_messages())
+    site.assert_no_leftovers()
 
 
 @pytest.mark.parametrize(("window", "runs"), [(0.3, 1), (1.5, 2)])
@@ -92,8 +92,8 @@
 ) -> None:
     """The first attempt breaks after 0.1 s; the repeat waits 0.2 s for a connection, twice."""
     site = Site(settings=with_service(3, semantics="dedup", window_s=window, balancers=20))
-    caller = Caller(site)
-    assert value(caller.ask(site.write("k", "01")))
+    caller = SiteClient(site)
+    assert value(caller.query(site.write("k", "01")))
     node, address = site.nodes["p"], site.nodes["p"].address
     before = len(node.seen)
 
@@ -102,9 +102,9 @@
         site.run_later(0.1, lambda: cut_off(site, "p"))
 
     node.answers.append(breaks)
-    caller.say(frames.query(site.write("k", "02").encode()), 1.9)
+    caller.send(frames.query(site.write("k", "02").encode()), 1.9)
     assert len(node.seen) == before + runs
-    told = caller.told()
+    told = caller.received_messages()
     if runs == 1:  # a repeat by the client could run a second time, too
         assert code(told) == "40003"
     else:
@@ -113,57 +113,57 @@
 
 def test_a_refusal_of_what_may_have_run_leaves_its_client_time_to_come_back_within_the_window() -> None:
     site = Site(settings=with_service(3, semantics="dedup", window_s=0.9))  # retry-after is 1 s
-    caller = Caller(site)
-    assert value(caller.ask(site.write("k", "01")))
+    caller = SiteClient(site)
+    assert value(caller.query(site.write("k", "01")))
     for _ in range(8):
         site.nodes["p"].answers.append(
             lambda node, statement: frames.error_response("XX000", "broken") + frames.READY_FOR_QUERY
         )
-    assert code(caller.ask(site.write("k", "02"), 2.0)) == "40003"
+    assert code(caller.query(site.write("k", "02"), 2.0)) == "40003"
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 def test_what_waits_for_a_connection_does_not_leave_once_its_client_has_gone(may_cancel: bool) -> None:
     site = Site(settings=with_service(0, {"may_cancel": may_cancel, "connect_timeout_s": 0.25}))
-    caller, other = Caller(site), Caller(site)
-    assert value(other.ask(site.write("k", "01")))
+    caller, other = SiteClient(site), SiteClient(site)
+    assert value(other.query(site.write("k", "01")))
     cut_off(site, "p")
     site.run(0.005)
     site.world.late[site.nodes["p"].address] = 0.2
     before = len(site.nodes["p"].seen)
-    caller.say(frames.query(site.write("k", "02").encode()), 0.01)
+    caller.send(frames.query(site.write("k", "02").encode()), 0.01)
     assert len(site.machine.in_flight) == 1
     caller.handle.close()
     site.run(1.0)
     assert len(site.nodes["p"].seen) == before
-    site.balanced()
+    site.assert_no_leftovers()
 
 
 def test_a_connection_that_never_comes_up_is_given_up_and_its_place_is_free() -> None:
     site = Site()
-    caller = Caller(site)
-    assert value(caller.ask(site.write("k", "01")))
+    caller = SiteClient(site)
+    assert value(caller.query(site.write("k", "01")))
     cut_off(site, "p")
     site.run(0.005)
     site.world.late[site.nodes["p"].address] = math.inf
-    caller.say(frames.query(site.write("k", "02").encode()), 0.1)
+    caller.send(frames.query(site.write("k", "02").encode()), 0.1)
     opening = [link for link in site.machine.links.values() if not link.up]
     assert opening
     site.run(2.0 + site.start.connect_timeout + LATE_CONNECT_GRACE)
     assert not any(link.id in site.machine.links for link in opening)
     assert not site.machine.members["p"].connecting and not site.machine.awaiting_link
     site.world.late.clear()
-    assert code(caller.told()) == "53300"
-    assert value(Caller(site).ask(site.write("k", "03"), 0.5)) == b"\x03"
-    site.balanced()
+    assert code(caller.received_messages()) == "53300"
+    assert value(SiteClient(site).query(site.write("k", "03"), 0.5)) == b"\x03"
+    site.assert_no_leftovers()
 
 
 @pytest.mark.parametrize("kind", ["save", "any"])
 def test_a_node_that_closes_an_idle_link_as_a_request_is_written_may_have_run_it(kind: str) -> None:
     site = Site()
-    caller = Caller(site)
-    assert value(caller.ask(site.write("k", "01")))
-    assert value(caller.ask(site.read("any", "k")))
+    caller = SiteClient(site)
+    assert value(caller.query(site.write("k", "01")))
+    assert value(caller.query(site.read("any", "k")))
     seen = {name: len(node.seen) for name, node in site.nodes.items()}
     text = site.write("k", "02") if kind == "save" else site.read("any", "k")
     caller.handle.send(frames.query(text.encode()))
@@ -174,12 +174,12 @@
     cut_off(site, attempt.member.name)
     site.run(0.1)
     assert len(site.nodes[attempt.member.name].seen) == seen[attempt.member.name]
-    told = caller.told()
+    told = caller.received_messages()
     if kind == "save":
         assert code(told) == "40003"  # the router can't tell that it has not run
     else:
         assert value(told) == b"\x01"  # served by another member
-    site.balanced()
+    site.assert_no_leftovers()
 
 
 def test_a_router_is_ready_and_serves_while_discovery_is_down_from_its_start() -> None:
@@ -189,65 +189,65 @@
     config = replace(site.start, listen="10.1.0.2:6432")
     service = Service(cast(SocketEnv, site.world), config, {}, site.note)
     site.host = service.host
-    caller = Caller(site)
-    assert [kind for kind, _ in caller.ask("")] == ["I", "Z"]
-    assert value(caller.ask(site.write("k", "01"))) == b"\x01"
+    caller = SiteClient(site)
+    assert [kind for kind, _ in caller.query("")] == ["I", "Z"]
+    assert value(caller.query(site.write("k", "01"))) == b"\x01"
     site.run(3.0)
     assert [event for event, _ in site.notes].count("discovery failed") >= 2
 
 
 def test_a_write_whose_connection_comes_up_late_goes_on_another_in_time() -> None:
     site = Site(settings=with_service(3, balancers=20))
-    caller = Caller(site)
-    assert value(caller.ask(site.write("k", "01")))
+    caller = SiteClient(site)
+    assert value(caller.query(site.write("k", "01")))
     cut_off(site, "p")
     site.run(0.005)
     address = site.nodes["p"].address
     site.world.late[address] = 1.5
     site.run_later(0.1, site.world.late.clear)  # the next connection is not delayed
-    caller.say(frames.query(site.write("k", "02").encode()), 0.8)
-    assert value(caller.told()) == b"\x02"
+    caller.send(frames.query(site.write("k", "02").encode()), 0.8)
+    assert value(caller.received_messages()) == b"\x02"
     site.run(1.0)  # the late connection is established by now, and usable
-    assert value(Caller(site).ask(site.write("k", "03"))) == b"\x03"
+    assert value(SiteClient(site).query(site.write("k", "03"))) == b"\x03"
     assert not any(member.connecting for member in site.machine.members.values())
-    site.balanced()
+    site.assert_no_leftovers()
 
 
 @pytest.mark.parametrize("kind", ["save", "any"])
 def test_a_reset_long_after_a_request_began_is_answered_at_once(kind: str) -> None:
     site = Site(settings=NO_PROBES)
-    caller = Caller(site)
-    assert value(caller.ask(site.write("k", "01")))
+    caller = SiteClient(site)
+    assert value(caller.query(site.write("k", "01")))
     for node in site.nodes.values():
         node.answers.append(lambda node, statement: None)
-    caller.say(
+    caller.send(
         frames.query((site.write("k", "02") if kind == "save" else site.read("any", "k")).encode()), 0.05
     )
     (attempt,) = site.machine.in_flight.values()
     for node in site.nodes.values():
         node.answers.clear()
     site.run(0.25 if kind == "any" else 1.2)
-    assert caller.told() == []
+    assert caller.received_messages() == []
     cut_off(site, attempt.member.name)
     site.run(0.1)
     if kind == "save":
-        assert code(caller.told()) == "40003"
+        assert code(caller.received_messages()) == "40003"
     else:
-        assert value(caller.told()) == b"\x01"
-    site.balanced()
+        assert value(caller.received_messages()) == b"\x01"
+    site.assert_no_leftovers()
 
 
 @pytest.mark.parametrize("moment", ["accepted", "read", "waiting"])
 def test_a_request_that_sigterm_crosses_is_answered(moment: str) -> None:
     """SIGTERM comes between accept and first read, right after the read, or while a connection is awaited."""
     site = Site()
-    first = Caller(site)
-    assert value(first.ask(site.write("k", "01")))
+    first = SiteClient(site)
+    assert value(first.query(site.write("k", "01")))
     if moment == "waiting":
         cut_off(site, "p")
         site.run(0.005)
         site.world.late[site.nodes["p"].address] = 0.1
-    caller = Caller(site, start=False)
+    caller = SiteClient(site, start=False)
     while len(site.front.clients) < 2:
         site.run(0.00001)
     caller.handle.send(frames.startup("backend", "store") + frames.query(site.write("k", "02").encode()))
@@ -256,9 +256,9 @@
     assert bool(site.machine.pending) is (moment != "accepted")
     site.service.handle_signal(signal.SIGTERM, site.world.now())
     site.run(0.5)
-    assert [kind for kind, _ in caller.told()][-4:] == ["T", "D", "C", "Z"]
+    assert [kind for kind, _ in caller.received_messages()][-4:] == ["T", "D", "C", "Z"]
     assert site.nodes["p"].store[b"k"] == b"\x02"
-    site.balanced()
+    site.assert_no_leftovers()
 
 
 # ---- clients that leave while they are not read
@@ -267,14 +267,14 @@
 def test_a_client_that_leaves_with_a_full_pipeline_takes_with_it_what_has_not_begun() -> None:
     """The end of a paused client's stream is behind commands that are never read, but must still be noticed."""
     site = Site()
-    caller = Caller(site)
-    assert value(caller.ask(site.write("k", "01")))
+    caller = SiteClient(site)
+    assert value(caller.query(site.write("k", "01")))
     for name, node in site.nodes.items():
         cut_off(site, name)
         site.world.late[node.address] = 0.2
     site.run(0.005)
     before = sum(len(node.seen) for node in site.nodes.values())
-    caller.say(b"".join(frames.query(site.write(f"k{place}").encode()) for place in range(40)), 0.01)
+    caller.send(b"".join(frames.query(site.write(f"k{place}").encode()) for place in range(40)), 0.01)
     (state,) = site.front.clients.values()
     assert state.paused and len(site.machine.pending) == 16
     caller.handle.close()
@@ -282,7 +282,7 @@
     assert not site.machine.pending and not site.front.clients
     site.run(1.0)
     assert sum(len(node.seen) for node in site.nodes.values()) == before
-    site.balanced()
+    site.assert_no_leftovers()
 
 
 # ---- other settings
@@ -290,11 +290,11 @@
 
 def test_where_there_are_no_tenants_requests_name_none() -> None:
     site = Site(settings={**SETTINGS, "tenants": []})
-    caller = Caller(site)
-    assert value(caller.ask(site.write("k", "01").replace("t=acme,", ""))) == b"\x01"
-    assert value(caller.ask(site.read("any", "k").replace("t=acme,", ""))) == b"\x01"
-    assert value(caller.ask(site.read("any", "k"))) == b"\x01"  # a tenant that is named is no error
-    site.balanced()
+    caller = SiteClient(site)
+    assert value(caller.query(site.write("k", "01").replace("t=acme,", ""))) == b"\x01"
+    assert value(caller.query(site.read("any", "k").replace("t=acme,", ""))) == b"\x01"
+    assert value(caller.query(site.read("any", "k"))) == b"\x01"  # a tenant that is named is no error
+    site.assert_no_leftovers()
 
 
 @pytest.mark.parametrize("missing", ["id=", "c=", "t=", "d=", "cluster="])
@@ -302,7 +302,7 @@
     site = Site()
     parts = re.split(r"(?<=/\* )|(?= \*/)|,", site.read("any", "k"))
     kept = [part for part in parts[1:-1] if not part.startswith(missing)]
-    told = Caller(site).ask(f"{parts[0]}{','.join(kept)}{parts[-1]}")
+    told = SiteClient(site).query(f"{parts[0]}{','.join(kept)}{parts[-1]}")
     assert code(told) == "22023" and f"lacks {missing[:-1]}".encode() in told[0][1]
     assert not any(node.seen for node in site.nodes.values())
 
@@ -311,10 +311,10 @@
 def test_classes_and_tenants_have_the_names_of_the_settings(name: str) -> None:
     settings = {**with_service(2, name=name), "tenants": [{"name": name, "share": 1.0}]}
     site = Site(settings=settings)
-    caller = Caller(site)
-    assert value(caller.ask(site.write("k", "01", t=name))) == b"\x01"
-    assert value(caller.ask(site.read(name, "k", t=name))) == b"\x01"
-    assert code(caller.ask(site.read("any", "k", t=name))) == "22023"
+    caller = SiteClient(site)
+    assert value(caller.query(site.write("k", "01", t=name))) == b"\x01"
+    assert value(caller.query(site.read(name, "k", t=name))) == b"\x01"
+    assert code(caller.query(site.read("any", "k", t=name))) == "22023"
 
 
 def test_settings_that_are_null_or_absent_are_read_as_not_told() -> None:
@@ -376,45 +376,45 @@
     world = World(1)
     others = {**with_service(3, semantics="dedup", window_s=0.5, name="pay"), "tenants": [], "balancers": 20}
     first, second = Site(world=world), Site(world=World(2), settings=others)
-    one, two = Caller(first), Caller(second)
+    one, two = SiteClient(first), SiteClient(second)
     for _ in range(20):
-        assert value(one.ask(first.write("k", "01"))) == b"\x01"
+        assert value(one.query(first.write("k", "01"))) == b"\x01"
     assert second.machine.balancer.usual_latency["pay"] == 0.25 and not second.machine.pending
-    assert value(two.ask(second.write("k", "02", kind="pay"))) == b"\x02"
+    assert value(two.query(second.write("k", "02", class_name="pay"))) == b"\x02"
     assert (
-        code(two.ask(second.write("k", "02"))) == "22023"
-        and code(one.ask(first.write(kind="pay"))) == "22023"
+        code(two.query(second.write("k", "02"))) == "22023"
+        and code(one.query(first.write(class_name="pay"))) == "22023"
     )
     assert first.machine.balancer.settings.classes[3].name == "save"
-    first.balanced()
-    second.balanced()
+    first.assert_no_leftovers()
+    second.assert_no_leftovers()
 
 
 # ---- discovery
 
 
-def pushed() -> dict[str, Any]:
+def pushed_settings() -> dict[str, Any]:
     """Settings under which the catalogue pushes its lists."""
     rules = {name: figure for name, figure in SETTINGS["rules"].items() if name != "ask_within_s"}
     return {**SETTINGS, "membership_mode": "automatic", "rules": rules}
 
 
-def draining(site: Site) -> bool:
+def is_draining(site: Site) -> bool:
     """Whether the router knows that r1 drains."""
     return site.machine.members["r1"].state is State.DRAINING
 
 
 def test_where_lists_are_pushed_the_watch_is_open_from_the_start_and_its_changes_hold() -> None:
-    site = Site(settings=pushed())
+    site = Site(settings=pushed_settings())
     assert site.catalogue.calls == ["/catalog/members?after=4&wait_ms=4000"]
     site.catalogue.list("r1", site.nodes["r1"].address, state="DRAINING")
     site.run(0.05)
-    assert draining(site)
+    assert is_draining(site)
 
 
 def test_where_lists_are_pushed_an_outage_is_not_missed_by_more_than_part_of_the_grace() -> None:
     """The catalogue is down for 20 s; when it is back, the router learns of a drain within 0.55 s."""
-    site = Site(settings=pushed())
+    site = Site(settings=pushed_settings())
     assert site.catalogue.listener is not None
     site.catalogue.listener.close()
     for peer, _ in site.catalogue.waiting:
@@ -425,7 +425,7 @@
     site.catalogue.start()
     site.catalogue.list("r1", site.nodes["r1"].address, state="DRAINING")
     site.run(0.55)
-    assert len(site.catalogue.calls) > asked and draining(site)
+    assert len(site.catalogue.calls) > asked and is_draining(site)
     failures = [fields for event, fields in site.notes if event == "discovery failed"]
     assert 20 < len(failures) < 120  # neither a flood of retries nor a long pause
 
@@ -435,10 +435,10 @@
     site.catalogue.waiting.clear()  # the pending call is never answered
     site.catalogue.list("r1", site.nodes["r1"].address, state="DRAINING")
     site.run(0.5)
-    assert not draining(site)
+    assert not is_draining(site)
     site.service.discovery.change_address(site.catalogue.address)
     site.run(0.05)
-    assert draining(site)
+    assert is_draining(site)
 
 
 def test_a_watch_that_fell_silent_is_opened_anew_within_six_seconds_of_its_call() -> None:
@@ -450,7 +450,7 @@
     site.catalogue.waiting.clear()
     site.catalogue.list("r1", site.nodes["r1"].address, state="DRAINING")
     site.run(5.9)
-    assert draining(site)
+    assert is_draining(site)
 
 
 def test_signals_that_come_together_leave_in_order() -> None:
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -29,11 +29,11 @@
 from banklift.pg import frames
 from banklift.proxy import events as ev
 from tests import test_crowd
-from tests.platform_site import SETTINGS, Caller, Site, value
+from tests.platform_site import SETTINGS, Site, SiteClient, value
 from tests.surroundings import PATIENCE, pair, run
 from tests.test_balance import SETTINGS as MODULE_SETTINGS
 from tests.test_balance import actions_of_type
-from tests.test_rare_moments import draining, pushed
+from tests.test_rare_moments import is_draining, pushed_settings
 from tests.test_service import Platform, platform
 
 __all__ = ["platform"]  # the fixture
@@ -113,10 +113,10 @@
     end_outage = start_outage(site)
     site.run(outage)
     site.catalogue.list("r1", site.nodes["r1"].address, state="DRAINING")
-    assert not draining(site)
+    assert not is_draining(site)
     end_outage()
     site.run(KNOWN_AFTER_SECONDS - 0.05)
-    assert draining(site)
+    assert is_draining(site)
 
 
 @pytest.mark.parametrize("outage", [7.7, 30.5, 45.5, 59.0])
@@ -126,15 +126,15 @@
     start_outage: Callable[[Site], Callable[[], object]], drain_grace: float, outage: float
 ) -> None:
     """There the waits between calls are a fraction of the drain grace, which may be a minute."""
-    settings = pushed()
+    settings = pushed_settings()
     site = Site(settings={**settings, "rules": {**settings["rules"], "drain_grace_s": drain_grace}})
     end_outage = start_outage(site)
     site.run(outage)
     site.catalogue.list("r1", site.nodes["r1"].address, state="DRAINING")
-    assert not draining(site)
+    assert not is_draining(site)
     end_outage()
     site.run(KNOWN_AFTER_SECONDS - 0.05)
-    assert draining(site)
+    assert is_draining(site)
 
 
 @pytest.mark.parametrize("ask_within", [10.0, 120.0])
@@ -149,11 +149,11 @@
 # ---- clients that have left
 
 
-def leave_by_close(caller: Caller) -> None:
+def leave_by_close(caller: SiteClient) -> None:
     caller.handle.close()
 
 
-def leave_by_terminate(caller: Caller) -> None:
+def leave_by_terminate(caller: SiteClient) -> None:
     caller.handle.send(b"X\0\0\0\x04")
 
 
@@ -166,16 +166,16 @@
 
 
 @LEAVING
-def test_a_held_request_is_not_sent_once_its_client_has_left(leave: Callable[[Caller], None]) -> None:
+def test_a_held_request_is_not_sent_once_its_client_has_left(leave: Callable[[SiteClient], None]) -> None:
     """Writes are held while no primary is known. The write of a client that stays shows that they are sent later."""
     site = Site()
-    leaving, staying = Caller(site), Caller(site)
+    leaving, staying = SiteClient(site), SiteClient(site)
     for node in site.nodes.values():
         node.primary = False
     site.catalogue.list("p", site.nodes["p"].address, state="DRAINING")
     site.run(0.05)
     for caller, key in ((leaving, "leaving"), (staying, "staying")):
-        caller.say(frames.query(site.write(key, "01").encode()), 0.0)
+        caller.send(frames.query(site.write(key, "01").encode()), 0.0)
     site.run(0.05)
     assert len(site.machine.pending) == 2 and not site.machine.in_flight
     before = statements(site)
@@ -186,14 +186,16 @@
     site.catalogue.list("n", new_primary.address, writes=True)
     site.run(0.5)
     assert statements(site) == before + 1
-    assert [b"'staying'" in text for text in new_primary.seen] == [True] and value(staying.told()) == b"\x01"
-    site.balanced()
+    assert [b"'staying'" in text for text in new_primary.seen] == [True] and value(
+        staying.received_messages()
+    ) == b"\x01"
+    site.assert_no_leftovers()
 
 
 @LEAVING
 @pytest.mark.parametrize("may_cancel", [True, False])
 def test_no_further_attempt_is_sent_for_a_client_that_has_left(
-    leave: Callable[[Caller], None], may_cancel: bool
+    leave: Callable[[SiteClient], None], may_cancel: bool
 ) -> None:
     """The first attempt is in flight when the client leaves, and fails after that."""
     site = Site(
@@ -203,17 +205,17 @@
         },
         delay=0.1,
     )
-    caller = Caller(site)
+    caller = SiteClient(site)
     for node in site.nodes.values():
         node.answers.append(
             lambda node, statement: frames.error_response("XX000", "broken") + frames.READY_FOR_QUERY
         )
-    caller.say(frames.query(site.read("any", "k").encode()), 0.05)
+    caller.send(frames.query(site.read("any", "k").encode()), 0.05)
     assert statements(site) == 1 and len(site.machine.in_flight) == 1
     leave(caller)
     site.run(1.0)
     assert statements(site) == 1
-    site.balanced()
+    site.assert_no_leftovers()
 
 
 def test_when_many_clients_leave_at_once_none_of_their_held_requests_is_sent() -> None:
@@ -224,7 +226,7 @@
         world=World(1, one_way=0.0),
         settings={**SETTINGS, "allowed": {**SETTINGS["allowed"], "probing": False}},
     )
-    callers = [Caller(site) for _ in range(60)]
+    callers = [SiteClient(site) for _ in range(60)]
 
     def all_send() -> None:
         for number, caller in enumerate(callers):
@@ -247,7 +249,7 @@
         caller.handle.close()
     site.run(0.3)
     assert statements(site) == sent
-    site.balanced()
+    site.assert_no_leftovers()
 
 
 class RecordingPeer(Peer):
@@ -302,15 +304,15 @@
 
 def test_an_unread_request_of_a_client_that_has_left_is_not_sent() -> None:
     site = Site()
-    caller = Caller(site)
-    assert value(caller.ask(site.write("k", "01")))
+    caller = SiteClient(site)
+    assert value(caller.query(site.write("k", "01")))
     before = statements(site)
     (client,) = site.front.clients
     site.host.handle_event(ev.ClientHalfClosed(client))
     site.host.handle_event(ev.ClientData(client, frames.query(site.write("k", "02").encode())))
     site.run(1.0)
     assert statements(site) == before
-    site.balanced()
+    site.assert_no_leftovers()
 
 
 # ---- cold members and routers that don't know of each other's requests
@@ -380,7 +382,7 @@
         text=True,
     )
     resource.prlimit(platform.process.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
-    platform.said("discovery failed")
+    platform.wait_for_log("discovery failed")
     called, closed, stopping = threading.Event(), threading.Event(), threading.Event()
     host, _, port = platform.listen.partition(":")
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -95,9 +95,9 @@
             stderr=subprocess.PIPE,
             text=True,
         )
-        self.said("listening")
+        self.wait_for_log("listening")
 
-    def said(self, text: str) -> str:
+    def wait_for_log(self, text: str) -> str:
         """Wait for a line of the process's log that contains `text`, and return it."""
         assert self.process is not None and self.process.stderr is not None
         for line in self.process.stderr:
@@ -170,11 +170,11 @@
     with platform.connect() as connection:
         assert save(platform, connection, "k", "01") == b"\x01"
         platform.process.send_signal(signal.SIGTERM)
-        platform.said("leaving")
+        platform.wait_for_log("leaving")
         assert save(platform, connection, "k", "02") == b"\x02"  # the client has no other connection
         with platform.connect() as late_connection:
             assert save(platform, late_connection, "k", "03") == b"\x03"
-        platform.said('"left","unanswered":0')
+        platform.wait_for_log('"left","unanswered":0')
     assert platform.process.wait(20) == 0
 
 
@@ -186,12 +186,12 @@
         platform.config["discovery"] = 5
         platform.write_config()
         platform.process.send_signal(signal.SIGHUP)
-        assert "discovery: host:port is needed" in platform.said("refused")
+        assert "discovery: host:port is needed" in platform.wait_for_log("refused")
         assert not platform.other_catalogue.calls
         platform.config["discovery"] = platform.other_catalogue.address
         platform.write_config()
         platform.process.send_signal(signal.SIGHUP)
-        platform.said("read again")
+        platform.wait_for_log("read again")
         assert platform.other_called.wait(60)
         assert save(platform, connection, "k", "02") == b"\x02"
 
