--- a/banklift/emulator/world.py
+++ b/banklift/emulator/world.py
@@ -43,7 +43,7 @@
         if not self.closed and self.other_end is not None:
             self._deliver(lambda other_end: other_end._data_arrived(data))
 
-    def finish(self, away: bool = False) -> None:
+    def finish(self, discard_input: bool = False) -> None:
         """Close; what was sent before still arrives, so this equals `close`."""
         self.close()
 
@@ -181,8 +181,10 @@
         accepted.other_end = handle
         handle.other_end = accepted
         accepted.last_delivery_at = self.clock + self.latency()
-        self.at(accepted.last_delivery_at, lambda: handle.peer.up(handle) if not handle.closed else None)
-        accepted.peer.up(accepted)
+        self.at(
+            accepted.last_delivery_at, lambda: handle.peer.connected(handle) if not handle.closed else None
+        )
+        accepted.peer.connected(accepted)
 
     def _refuse(self, handle: WorldHandle) -> None:
         if not handle.closed:
--- a/banklift/judge/load.py
+++ b/banklift/judge/load.py
@@ -273,7 +273,7 @@
         if self.is_open:
             self._send()
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         self.handle, self.is_open = handle, True
         if self.batch:
             self._send()
--- a/banklift/pg/front.py
+++ b/banklift/pg/front.py
@@ -41,7 +41,7 @@
 from banklift.proxy import events as ev
 from banklift.proxy.machine import Machine
 from banklift.proxy.plan import Limits
-from banklift.proxy.wire import Ask, Failed, Final, Refused, Served
+from banklift.proxy.wire import ClientRequest, Failed, Final, Refused, Served
 
 READ_TIMEOUT_S = 2.0  # time for a startup, for the first query and for the rest of a started message
 # Share of the allowed clients from which on `BUSY_IDLE_TIMEOUT_S` replaces the usual idle timeout.
@@ -59,16 +59,16 @@
 MAX_DEADLINE_FACTOR = 10  # a longer `d` than this multiple of the deadline of its class is refused
 MAX_COMMIT_AHEAD_S = 1.0  # how far the commit time in `after` may lie ahead of this router's clock
 STARTUP_ANSWER = (
-    frames.AUTHENTICATED
-    + frames.parameter("server_version", "15.0 (banklift)")
-    + frames.parameter("client_encoding", "UTF8")
-    + frames.parameter("server_encoding", "UTF8")
-    + frames.parameter("DateStyle", "ISO, MDY")
-    + frames.parameter("integer_datetimes", "on")
-    + frames.parameter("standard_conforming_strings", "on")
-    + frames.READY
+    frames.AUTHENTICATION_OK
+    + frames.parameter_status("server_version", "15.0 (banklift)")
+    + frames.parameter_status("client_encoding", "UTF8")
+    + frames.parameter_status("server_encoding", "UTF8")
+    + frames.parameter_status("DateStyle", "ISO, MDY")
+    + frames.parameter_status("integer_datetimes", "on")
+    + frames.parameter_status("standard_conforming_strings", "on")
+    + frames.READY_FOR_QUERY
 )
-OUTCOME_UNKNOWN = frames.error("40003", "failed: it may have run") + frames.READY
+OUTCOME_UNKNOWN = frames.error_response("40003", "failed: it may have run") + frames.READY_FOR_QUERY
 
 
 @dataclass(slots=True, eq=False)
@@ -142,7 +142,9 @@
                 self._close(evicted)
             else:
                 self.core.actions.append(
-                    ev.ToClient(client_id, frames.error("53300", "too many connections", severity="FATAL"))
+                    ev.SendToClient(
+                        client_id, frames.error_response("53300", "too many connections", severity="FATAL")
+                    )
                 )
                 self.core.actions.append(ev.CloseClient(client_id))
                 return
@@ -150,7 +152,7 @@
         self.clients[client_id] = self.idle_clients[client_id] = client
         if not self.sweep_scheduled:
             self.sweep_scheduled = True
-            self.core.at(self.core.now + SWEEP_INTERVAL_S, self._sweep)
+            self.core.call_at(self.core.now + SWEEP_INTERVAL_S, self._sweep)
 
     def data(self, client_id: int, data: bytes) -> None:
         """Bytes came from a client; they are ignored once its connection is closing."""
@@ -177,7 +179,7 @@
         if client is not None:
             self._abandon_commands(client)
 
-    def full(self, client_id: int, is_full: bool) -> None:
+    def set_output_full(self, client_id: int, is_full: bool) -> None:
         """The buffer of answers to a client became full, or free again: no new command is begun in between."""
         client = self.clients.get(client_id)
         if client is not None:
@@ -187,9 +189,9 @@
             else:
                 self._flush(client)
 
-    def done(self, ask: Ask, final: Final) -> None:
+    def done(self, request: ClientRequest, final: Final) -> None:
         """A request ended. Its answer is sent once all earlier commands of its client are answered."""
-        found = self.pending.pop(ask.ids[0], None) if ask.ids else None
+        found = self.pending.pop(request.ids[0], None) if request.ids else None
         if found is None:
             return
         client, command = found
@@ -197,7 +199,7 @@
             self.pending_ids.discard(command.client_request_id)
         match final:
             case Served(answer):
-                command.answer = answer + frames.READY
+                command.answer = answer + frames.READY_FOR_QUERY
             case Refused(retry_after):
                 command.answer = refusal(retry_after)
             case Failed():
@@ -209,7 +211,7 @@
         raise AssertionError("the platform has no policies")
 
     def drain(self) -> None:
-        """This router ends at `core.end` (seconds): close idle connections one after another until then.
+        """This router ends at `core.drain_deadline` (seconds): close idle connections one after another until then.
 
         Their clients then don't all connect to the other routers at once, and don't send a query here when there is no
         time left to answer it.
@@ -249,7 +251,7 @@
 
     def _fail_connection(self, client: Client, code: str, text: str) -> None:
         """Queue a FATAL error with this SQLSTATE, after which the connection is closed and no input is parsed."""
-        client.queue.append(PendingCommand(frames.error(code, text, severity="FATAL")))
+        client.queue.append(PendingCommand(frames.error_response(code, text, severity="FATAL")))
         client.closing = client.discards_input = True
         self._pause(client)
 
@@ -261,7 +263,7 @@
             queue.popleft()
         if answers:
             self.core.actions.append(
-                ev.ToClient(client.id, answers[0] if len(answers) == 1 else b"".join(answers))
+                ev.SendToClient(client.id, answers[0] if len(answers) == 1 else b"".join(answers))
             )
             client.waiting_since = self.core.now
         if queue:
@@ -280,7 +282,10 @@
                 self._close(client)
             return
         if (
-            (self.leaving or (client.has_queried and self.core.now >= self.core.end - DRAIN_CLOSE_LEAD_S))
+            (
+                self.leaving
+                or (client.has_queried and self.core.now >= self.core.drain_deadline - DRAIN_CLOSE_LEAD_S)
+            )
             and not client.queue
             and not len(client.reader)
         ):
@@ -315,7 +320,7 @@
             if len(self.clients) < BUSY_CLIENTS_SHARE * self.limits.clients
             else BUSY_IDLE_TIMEOUT_S
         )
-        if self.core.end < math.inf:
+        if self.core.drain_deadline < math.inf:
             timeout = math.inf  # on shutdown idle connections are closed from `drain_close_from` on instead
         if now >= self.drain_close_from:
             idle = [
@@ -324,7 +329,9 @@
                 if client.has_queried and not len(client.reader)
             ]
             # Spread the closing over the sweeps that remain; clients that have been idle longest come first.
-            share = SWEEP_INTERVAL_S / max(SWEEP_INTERVAL_S, self.core.end - DRAIN_CLOSE_LEAD_S - now)
+            share = SWEEP_INTERVAL_S / max(
+                SWEEP_INTERVAL_S, self.core.drain_deadline - DRAIN_CLOSE_LEAD_S - now
+            )
             for client in idle[: math.ceil(share * len(idle))]:
                 self._close(client)
         for client in list(self.idle_clients.values()):
@@ -333,9 +340,9 @@
                 if waited >= READ_TIMEOUT_S:
                     if client.reader.started:
                         self.core.actions.append(
-                            ev.ToClient(
+                            ev.SendToClient(
                                 client.id,
-                                frames.error(
+                                frames.error_response(
                                     "57P05",
                                     "nothing asked, or half a message, for too long",
                                     severity="FATAL",
@@ -347,7 +354,7 @@
                 self._close(client)
         self.sweep_scheduled = bool(self.clients)
         if self.sweep_scheduled:
-            self.core.at(now + SWEEP_INTERVAL_S, self._sweep)
+            self.core.call_at(now + SWEEP_INTERVAL_S, self._sweep)
 
     # ---- messages
 
@@ -385,7 +392,7 @@
             return self._fail_connection(client, "08P01", "a query that is not one text")
         text = body[:-1]
         if not text.strip(b" \t\r\n;"):
-            client.queue.append(PendingCommand(frames.EMPTY + frames.READY))
+            client.queue.append(PendingCommand(frames.EMPTY_QUERY_RESPONSE + frames.READY_FOR_QUERY))
             return
         try:
             statement = parse(text)
@@ -394,7 +401,9 @@
             client.bad_statements += 1
             if client.bad_statements >= MAX_BAD_STATEMENTS:
                 return self._fail_connection(client, error.code, str(error))
-            client.queue.append(PendingCommand(frames.error(error.code, str(error)) + frames.READY))
+            client.queue.append(
+                PendingCommand(frames.error_response(error.code, str(error)) + frames.READY_FOR_QUERY)
+            )
             return
         core = self.core
         if (
@@ -406,15 +415,15 @@
         client.queue.append(command)
         self.idle_clients.pop(client.id, None)
         self.pending_ids.add(statement.id)
-        arrived = core.now if core.arrived is None else core.arrived
-        since = None if statement.after_ms is None else core.now - statement.after_ms / 1000
+        arrived = core.now if core.input_sent_at is None else core.input_sent_at
+        seconds_since_write = None if statement.after_ms is None else core.now - statement.after_ms / 1000
         # Without client tokens, the statements of one key form a session.
         session = (
             None
             if self.client_tokens or request_class.need not in (Need.SESSION, Need.WRITE)
             else int.from_bytes(statement.key)
         )
-        ask = Ask(
+        request = ClientRequest(
             client.id,
             request_class,
             statement.group,
@@ -422,15 +431,15 @@
             tenant=statement.tenant,
             arrived=arrived,
             deadline=arrived + statement.client_timeout_ms / 1000 - self.limits.margin,
-            since=since,
+            seconds_since_write=seconds_since_write,
             session=session,
-            again=statement.is_retry,
+            is_retry=statement.is_retry,
             label=statement.id,
         )
         # `submit` returns the id, but may call `done` before that: the next id is needed in advance.
-        command.request_id = core.ids + 1
+        command.request_id = core.last_request_id + 1
         self.pending[command.request_id] = client, command
-        submitted_id = core.submit(ask)
+        submitted_id = core.submit(request)
         assert submitted_id == command.request_id
 
     def _validated_class(self, statement: Statement) -> io.RequestClass:
@@ -462,10 +471,10 @@
 def refusal(retry_after: float) -> bytes:
     """The answer to a refused request. `retry_after`: seconds until the client may retry; 0 leaves the time out."""
     return (
-        frames.error(
+        frames.error_response(
             "53300",
             "refused: nothing ran, or a repeat does no harm",
             str(math.ceil(retry_after * 1000)) if retry_after > 0 else "",
         )
-        + frames.READY
+        + frames.READY_FOR_QUERY
     )
--- a/banklift/resp/front.py
+++ b/banklift/resp/front.py
@@ -37,7 +37,7 @@
 from banklift.proxy import events as ev
 from banklift.proxy.machine import Machine
 from banklift.proxy.plan import Config
-from banklift.proxy.wire import Ask, Failed, Final, Refused, Served
+from banklift.proxy.wire import ClientRequest, Failed, Final, Refused, Served
 from banklift.resp.commands import COMMANDS, Command, Kind, lookup
 from banklift.resp.frames import CommandReader, Error, ProtocolError, Simple, command, encode
 from banklift.resp.proofs import RespProofs
@@ -54,12 +54,12 @@
 UNCERTAIN_ERROR = encode(Error("UNCERTAIN failed: it may have run"))
 
 
-def encode_refusal(retry_after: float, touched: bool) -> bytes:
+def encode_refusal(retry_after: float, may_have_run: bool) -> bytes:
     """Encodes the reply to a refused request that is safe to send again.
 
-    `retry_after`: seconds. `touched`: whether a member may have run it.
+    `retry_after`: seconds. `may_have_run`: whether a member may have run it.
     """
-    outcome = "it may have run and is safe to repeat" if touched else "nothing ran"
+    outcome = "it may have run and is safe to repeat" if may_have_run else "nothing ran"
     return encode(Error(f"TRYAGAIN refused: {outcome}; retry_after_ms={round(retry_after * 1000)}"))
 
 
@@ -158,7 +158,7 @@
     def opened(self, client: int) -> None:
         """A client connected; it is turned away if `limits.clients` connections are open."""
         if len(self.clients) >= self.config.limits.clients:
-            self.core.actions.append(ev.ToClient(client, b"-ERR max number of clients reached\r\n"))
+            self.core.actions.append(ev.SendToClient(client, b"-ERR max number of clients reached\r\n"))
             self.core.actions.append(ev.CloseClient(client))
             return
         self.clients[client] = Client(client, CommandReader(self.config.limits.frame))
@@ -183,7 +183,11 @@
                     waiting.place.answer = refused
             queue.waiting.clear()
         for place in list(state.line):
-            if place.request is not None and place.answer is None and not self.core.under_way(place.request):
+            if (
+                place.request is not None
+                and place.answer is None
+                and not self.core.has_running_attempt(place.request)
+            ):
                 self._give_up(place, refused)
         self._flush(state)
 
@@ -203,7 +207,7 @@
                 self.places.pop(place.request, None)
                 self.core.abandon(place.request)
 
-    def full(self, client: int, is_full: bool) -> None:
+    def set_output_full(self, client: int, is_full: bool) -> None:
         """The client has stopped reading its replies, or reads them again: pauses or resumes its commands."""
         state = self.clients.get(client)
         if state is not None:
@@ -213,7 +217,7 @@
             else:
                 self._flush(state)
 
-    def done(self, request: Ask, final: Final) -> None:
+    def done(self, request: ClientRequest, final: Final) -> None:
         """The core has finished a request: stores the reply and starts what waited for it."""
         found = self.places.pop(request.ids[0], None) if request.ids else None
         if found is None:
@@ -224,12 +228,12 @@
                 place.answer = answer
                 if seen is not None:
                     self._merge_mark(self._session_marks(state), request.group, seen)
-            case Refused(retry_after, touched):
-                place.answer = encode_refusal(retry_after, touched)
+            case Refused(retry_after, may_have_run):
+                place.answer = encode_refusal(retry_after, may_have_run)
             case Failed():
                 place.answer = UNCERTAIN_ERROR
         if place.queue is not None:
-            place.queue.release(request.kind)
+            place.queue.release(request.request_class)
             self._start_waiting(state, request.group, place.queue)
         self._flush(state)
 
@@ -266,12 +270,12 @@
         if place.request is None:
             place.answer = untouched
             return
-        touched = self.core.touched(place.request)
-        repeatable = self.core.repeats(place.request)
+        may_have_run = self.core.may_have_run(place.request)
+        repeatable = self.core.safe_to_repeat(place.request)
         self.core.abandon(place.request)
         self.places.pop(place.request, None)
         place.answer = (
-            untouched if not touched else encode_refusal(0.0, True) if repeatable else UNCERTAIN_ERROR
+            untouched if not may_have_run else encode_refusal(0.0, True) if repeatable else UNCERTAIN_ERROR
         )
         if place.queue is not None and place.request_class is not None:
             place.queue.release(place.request_class)
@@ -333,13 +337,13 @@
         if state.id not in self.clients:
             return
         if out:
-            self.core.actions.append(ev.ToClient(state.id, out[0] if len(out) == 1 else b"".join(out)))
+            self.core.actions.append(ev.SendToClient(state.id, out[0] if len(out) == 1 else b"".join(out)))
         if state.closing and not line:
             del self.clients[state.id]
             self.core.actions.append(ev.CloseClient(state.id))
         elif sum(map(len, out)) > FLUSH_PAUSE_BYTES:  # the core's next turn knows whether the client is slow
             self._pause(state)
-            self.core.at(self.core.now, lambda: self._flush(state))
+            self.core.call_at(self.core.now, lambda: self._flush(state))
         elif state.paused and not state.output_full and len(line) <= self.config.limits.pipeline // 2:
             state.paused = False
             self.core.actions.append(ev.ResumeClient(state.id))
@@ -432,12 +436,12 @@
         queue = state.queues.get(group)
         if queue is None:
             queue = state.queues[group] = GroupQueue()
-        arrived = self.core.now if self.core.arrived is None else self.core.arrived
-        deadline = arrived + self.core.patience(request_class)
+        arrived = self.core.now if self.core.input_sent_at is None else self.core.input_sent_at
+        deadline = arrived + self.core.answer_time_limit(request_class)
         if state.line[0] is place:
             state.latest_deadline = deadline
         elif deadline < state.latest_deadline:  # before that of a command ahead of it
-            self.core.at(deadline, lambda: self._overdue(state, place))
+            self.core.call_at(deadline, lambda: self._overdue(state, place))
         else:
             state.latest_deadline = deadline
         waiting = WaitingCommand(place, request_class, exchange, arrived)
@@ -474,19 +478,19 @@
             queue.active_writes += 1
         else:
             queue.active_reads += 1
-        request = Ask(
+        request = ClientRequest(
             state.id, request_class, group, waiting.exchange, tenant=state.user, arrived=waiting.arrived
         )
         if request_class.need is Need.SESSION:
             marks = self._session_marks(state)
-            request.seen = marks.get(group)
+            request.must_reflect = marks.get(group)
             may_have_written_elsewhere = self.config.sessions == "roaming" and not state.sent_token
             # without known marks, the read must see every commit before its arrival
-            request.current = may_have_written_elsewhere or (
+            request.must_see_all = may_have_written_elsewhere or (
                 self.marks_evicted and bool(state.name) and not marks
             )
         # `submit` may call `done` before it returns the id, so the entry is registered under the next id first
-        request_id = self.core.ids + 1
+        request_id = self.core.last_request_id + 1
         place.request = request_id
         self.places[request_id] = state, place
         submitted_id = self.core.submit(request)
@@ -784,7 +788,7 @@
             ]
             if any(unknown_histories):
                 # a primary that this router has not heard of may have begun a new history
-                self.core.refresh(group)
+                self.core.probe_group(group)
         session_marks = self._session_marks(state)
         for group, seen in marks.items():
             self._merge_mark(session_marks, group, seen)
@@ -820,8 +824,8 @@
             if count >= wanted or self.core.now >= deadline or not counts:
                 return count
             for group in self._session_marks(state):
-                self.core.refresh(group)
-            self.core.at(min(deadline, self.core.now + WAIT_POLL_SECONDS), lambda: self._flush(state))
+                self.core.probe_group(group)
+            self.core.call_at(min(deadline, self.core.now + WAIT_POLL_SECONDS), lambda: self._flush(state))
             return NOT_READY
 
         place.deferred = count_or_poll
--- a/banklift/rig/capacity_members.py
+++ b/banklift/rig/capacity_members.py
@@ -16,10 +16,10 @@
 
 import h11
 
-from banklift.discovery.client import Client, Send, Tell
+from banklift.discovery.client import CallResult, CatalogueClient, Send
 from banklift.pg import frames
 from banklift.pg.front import PgFront
-from banklift.pg.wire import USAGE, PgWire
+from banklift.pg.wire import USAGE_QUERY, PgWire
 from banklift.proxy import events as ev
 from banklift.proxy.machine import Machine
 from banklift.proxy.plan import Limits
@@ -86,13 +86,13 @@
         )
         self.groups = max(1, members // GROUP_SIZE)
         self.now = 1_700_000_100.0  # seconds since the Unix epoch, in virtual time
-        self.discovery = Client("10.9.0.1:8500")
+        self.discovery = CatalogueClient("10.9.0.1:8500")
         self.links: dict[int, str] = {}  # addresses of members by link
         self.events: list[tuple[float, int, ev.Event]] = []  # heap of what is to come: time, number, event
         self.event_number = 0  # keeps events of one time in order
         self.requested = 0
         self.served = 0
-        self.discovery.ask(self.now, True)
+        self.discovery.request_list(self.now, True)
         self.discovery.connected(self.now)
         self.call_bytes = self._take_sent_bytes()  # of the last call to discovery
 
@@ -101,7 +101,9 @@
     def _take_sent_bytes(self) -> int:
         """Bytes that the discovery client wants to send; of its actions, only rosters remain."""
         sent = sum(len(action.data) for action in self.discovery.actions if isinstance(action, Send))
-        self.discovery.actions = [action for action in self.discovery.actions if isinstance(action, Tell)]
+        self.discovery.actions = [
+            action for action in self.discovery.actions if isinstance(action, CallResult)
+        ]
         return sent
 
     def receive_list(self, data: bytes) -> float:
@@ -109,10 +111,12 @@
         begin = time.process_time()
         self.discovery.data(self.now, data)
         for action in self.discovery.actions:
-            if isinstance(action, Tell) and action.roster is not None:
+            if isinstance(action, CallResult) and action.roster is not None:
                 self._perform(self.machine.handle(self.now, action.roster))
         spent = time.process_time() - begin
-        self.discovery.actions = [action for action in self.discovery.actions if not isinstance(action, Tell)]
+        self.discovery.actions = [
+            action for action in self.discovery.actions if not isinstance(action, CallResult)
+        ]
         self.call_bytes = self._take_sent_bytes()
         return spent
 
@@ -132,9 +136,9 @@
                     self._schedule(CONNECT_SECONDS, ev.LinkUp(link))
                 case ev.CloseLink(link):
                     self.links.pop(link, None)
-                case ev.ToLink(link, data):
+                case ev.SendToLink(link, data):
                     self._answer(link, data)
-                case ev.ToClient(client, data):
+                case ev.SendToClient(client, data):
                     if data[:1] == b"T":  # a row description: the request was served, not refused
                         self.served += 1
                         self._schedule(CLIENT_CLOSE_SECONDS, ev.ClientLost(client))
@@ -142,8 +146,10 @@
     def _answer(self, link: int, data: bytes) -> None:
         """What a member does with bytes from the router."""
         if data[4:8] == b"\0\x03\0\0":  # protocol 3.0: a startup message
-            self._schedule(STARTUP_SECONDS, ev.LinkData(link, frames.AUTHENTICATED + frames.READY))
-        elif data == USAGE:
+            self._schedule(
+                STARTUP_SECONDS, ev.LinkData(link, frames.AUTHENTICATION_OK + frames.READY_FOR_QUERY)
+            )
+        elif data == USAGE_QUERY:
             self._schedule(PROBE_SECONDS, ev.LinkData(link, usage_answer(self.now, self._is_primary(link))))
         else:
             self._schedule(REQUEST_SECONDS, ev.LinkData(link, row_answer(self.now, self._is_primary(link))))
@@ -197,13 +203,13 @@
 
 def row_answer(now: float, primary: bool) -> bytes:
     """A member's answer to a request: one row with one value, its role and its commit clock in milliseconds."""
-    parameters = frames.parameter("server_role", "writer" if primary else "reader")
-    parameters += frames.parameter("commit_clock", str(int(now * 1000)))
+    parameters = frames.parameter_status("server_role", "writer" if primary else "reader")
+    parameters += frames.parameter_status("commit_clock", str(int(now * 1000)))
     description = frames.message(
         b"T", b"\0\x01content\0" + b"\0" * 6 + b"\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01"
     )
     row = frames.message(b"D", b"\0\x01\0\0\0\x08" + b"12345678")
-    return description + row + frames.message(b"C", b"SELECT 1\0") + parameters + frames.READY
+    return description + row + frames.message(b"C", b"SELECT 1\0") + parameters + frames.READY_FOR_QUERY
 
 
 def usage_answer(now: float, primary: bool) -> bytes:
@@ -212,7 +218,7 @@
     field_format = b"\0" * 6 + b"\0\0\0\x19\xff\xff\xff\xff\xff\xff\0\0"
     description = frames.message(b"T", b"\0\x01usage\0" + field_format)
     row = frames.message(b"D", b"\0\x01" + len(text).to_bytes(4, "big") + text)
-    return description + row + frames.message(b"C", b"SHOW\0") + frames.READY
+    return description + row + frames.message(b"C", b"SHOW\0") + frames.READY_FOR_QUERY
 
 
 @dataclass(frozen=True, slots=True)
--- a/banklift/rig/node_env.py
+++ b/banklift/rig/node_env.py
@@ -89,8 +89,8 @@
         self.tap(self.handle.source, data)
         self.handle.send(data)
 
-    def finish(self, away: bool = False) -> None:
-        self.handle.finish(away)
+    def finish(self, discard_input: bool = False) -> None:
+        self.handle.finish(discard_input)
 
     def close(self) -> None:
         self.handle.close()
@@ -112,9 +112,9 @@
     def __init__(self, env: NodeEnv, peer: Peer, tap: Callable[[str, bytes], None] | None = None) -> None:
         self.env, self.peer, self.tap = env, peer, tap
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         tapped = handle if self.tap is None else _TappedHandle(handle, self.tap)
-        self.env.deliver(lambda: self.peer.up(tapped))
+        self.env.deliver(lambda: self.peer.connected(tapped))
 
     def data(self, data: bytes) -> None:
         self.env.deliver(lambda: self.peer.data(data))
@@ -128,8 +128,8 @@
     def lost(self, reason: str) -> None:
         self.env.deliver(lambda: self.peer.lost(reason))
 
-    def full(self) -> None:
-        self.env.deliver(self.peer.full)
+    def write_paused(self) -> None:
+        self.env.deliver(self.peer.write_paused)
 
-    def free(self) -> None:
-        self.env.deliver(self.peer.free)
+    def write_resumed(self) -> None:
+        self.env.deliver(self.peer.write_resumed)
--- a/banklift/rig/relay.py
+++ b/banklift/rig/relay.py
@@ -212,7 +212,7 @@
     def __init__(self, connection: _Connection) -> None:
         self.connection = connection
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         connection = self.connection
         connection.source = handle
         if connection.relay.refusing:
@@ -241,7 +241,7 @@
     def __init__(self, connection: _Connection) -> None:
         self.connection = connection
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         self.connection.target_is_open = True
 
     def data(self, data: bytes) -> None:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -27,20 +27,20 @@
 
 
 class TrafficCounter:
-    """Counts the messages and bytes that all hosts write on links, by wrapping `FleetHost.carry`."""
+    """Counts the messages and bytes that all hosts write on links, by wrapping `FleetHost.perform_actions`."""
 
     def __init__(self) -> None:
         self.messages = self.bytes = 0
-        original = fleet_host.FleetHost.carry
+        original = fleet_host.FleetHost.perform_actions
 
-        def carry(host: fleet_host.FleetHost, actions: list[Action]) -> None:
+        def perform_actions(host: fleet_host.FleetHost, actions: list[Action]) -> None:
             for action in actions:
                 if isinstance(action, Write):
                     self.messages += 1
                     self.bytes += len(action.data)
             original(host, actions)
 
-        fleet_host.FleetHost.carry = carry  # type: ignore[method-assign]
+        fleet_host.FleetHost.perform_actions = perform_actions  # type: ignore[method-assign]
 
 
 def started_fleet(seed: int, routers: int, voters: int, lease: float) -> FleetWorld:
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -76,7 +76,7 @@
             if isinstance(action, ev.OpenLink):
                 self.links[action.link] = action.address
                 actions.extend(self.machine.handle(self.now, ev.LinkUp(action.link)))
-            elif isinstance(action, ev.ToLink):
+            elif isinstance(action, ev.SendToLink):
                 primary = self.links[action.link] == "m:0"
                 if primary and self.primary_silent and action.data != INFO:
                     continue
@@ -159,7 +159,7 @@
         simulation.handle(ev.ClientData(reader, command("APPEND", "note:{a}", "x")))
         simulation.measure_reads(reader)
         simulations[size] = simulation, reader, simulation.start_flood(size)
-        print(f"{size} sent: {len(simulation.machine.open)} open", file=sys.stderr)
+        print(f"{size} sent: {len(simulation.machine.pending)} open", file=sys.stderr)
     gc.collect()
     gc.freeze()
     reads: dict[int, list[float]] = {size: [] for size in FLOOD_SIZES}
--- a/benchmarks/machine.py
+++ b/benchmarks/machine.py
@@ -39,7 +39,7 @@
             action = actions.popleft()
             if isinstance(action, ev.OpenLink):
                 actions.extend(machine.handle(now, ev.LinkUp(action.link)))
-            elif isinstance(action, ev.ToLink):
+            elif isinstance(action, ev.SendToLink):
                 now += REPLY_DELAY_S
                 status = b"$%d\r\n%b\r\n" % (len(relay.INFO), relay.INFO) if INFO in action.data else b""
                 value = relay.VALUE if relay.GET in action.data else b""
--- a/benchmarks/pg_machine.py
+++ b/benchmarks/pg_machine.py
@@ -18,7 +18,7 @@
 from banklift.interface import State
 from banklift.pg import frames
 from banklift.pg.front import PgFront
-from banklift.pg.wire import USAGE, PgWire
+from banklift.pg.wire import USAGE_QUERY, PgWire
 from banklift.proxy import events as ev
 from banklift.proxy.machine import Machine
 from banklift.proxy.plan import Limits
@@ -34,13 +34,13 @@
 
 def statement_reply(now: float, primary: bool) -> bytes:
     """A member's reply to any statement: one row, and the status parameters as of `now` (seconds)."""
-    status = frames.parameter("server_role", "writer" if primary else "reader")
-    status += frames.parameter("commit_clock", str(int(now * 1000)))
+    status = frames.parameter_status("server_role", "writer" if primary else "reader")
+    status += frames.parameter_status("commit_clock", str(int(now * 1000)))
     description = frames.message(
         b"T", b"\0\x01content\0" + b"\0" * 6 + b"\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01"
     )
     row = frames.message(b"D", b"\0\x01\0\0\0\x08" + b"12345678")
-    return description + row + frames.message(b"C", b"SELECT 1\0") + status + frames.READY
+    return description + row + frames.message(b"C", b"SELECT 1\0") + status + frames.READY_FOR_QUERY
 
 
 def usage_reply(now: float, primary: bool) -> bytes:
@@ -50,7 +50,7 @@
         b"T", b"\0\x01usage\0" + b"\0" * 6 + b"\0\0\0\x19\xff\xff\xff\xff\xff\xff\0\0"
     )
     row = frames.message(b"D", b"\0\x01" + len(text).to_bytes(4, "big") + text)
-    return description + row + frames.message(b"C", b"SHOW\0") + frames.READY
+    return description + row + frames.message(b"C", b"SHOW\0") + frames.READY_FOR_QUERY
 
 
 class Simulation:
@@ -72,7 +72,7 @@
         self.served = 0
         self.processor_s = 0.0  # real time spent in the state machine
         members = tuple(
-            ev.Listed(f"s{group}{place}", group, f"s{group}{place}:1", State.READY, place == 0)
+            ev.ListedMember(f"s{group}{place}", group, f"s{group}{place}:1", State.READY, place == 0)
             for group in range(3)
             for place in range(3)
         )
@@ -95,17 +95,20 @@
                     self.schedule(CONNECT_DELAY_S, ev.LinkUp(link))
                 case ev.CloseLink(link):
                     del self.links[link]
-                case ev.ToLink(link, data):
+                case ev.SendToLink(link, data):
                     primary = self.links[link][2] == "0"
                     if data[4:8] == b"\0\x03\0\0":
-                        self.schedule(LOGIN_DELAY_S, ev.LinkData(link, frames.AUTHENTICATED + frames.READY))
-                    elif data == USAGE:
+                        self.schedule(
+                            LOGIN_DELAY_S,
+                            ev.LinkData(link, frames.AUTHENTICATION_OK + frames.READY_FOR_QUERY),
+                        )
+                    elif data == USAGE_QUERY:
                         self.schedule(USAGE_DELAY_S, ev.LinkData(link, usage_reply(self.now, primary)))
                     else:
                         self.schedule(
                             STATEMENT_DELAY_S, ev.LinkData(link, statement_reply(self.now, primary))
                         )
-                case ev.ToClient(client, data):
+                case ev.SendToClient(client, data):
                     if data[:1] == b"T":
                         self.served += 1
                         self.schedule(CLIENT_CLOSE_DELAY_S, ev.ClientLost(client))
@@ -157,7 +160,7 @@
         size = f", {tracemalloc.get_traced_memory()[0]:,} bytes" if tracing else ""
         print(
             f"quarter {quarter + 1}: {cost_us:.0f} us a request, {objects:,} objects{size}, "
-            f"{len(simulation.machine.timers)} timers, {simulation.machine.timers.room} heap entries, "
+            f"{len(simulation.machine.timers)} timers, {simulation.machine.timers.heap_size} heap entries, "
             f"served {simulation.served}"
         )
     print(f"after a full collection: {gc.collect():,} found, {len(gc.get_objects()):,} objects left")
--- a/benchmarks/service.py
+++ b/benchmarks/service.py
@@ -95,7 +95,7 @@
         self.busy = False
         self.sent_at = 0.0  # seconds, on the clock of the environment
 
-    def up(self, handle: Handle) -> None:
+    def connected(self, handle: Handle) -> None:
         """Keep the handle of the connection, which is established."""
         self.handle = handle
 
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -18,7 +18,7 @@
 from banklift.proxy import events as ev
 from banklift.proxy.machine import Machine
 from banklift.proxy.plan import Config
-from banklift.proxy.wire import Ask, Failed, Final, Question, Refused, Served
+from banklift.proxy.wire import ClientRequest, Failed, Final, Refused, Served, StatusQuery
 from banklift.resp.front import Client, Place, RespFront
 from banklift.resp.proofs import RespProofs
 
@@ -81,9 +81,9 @@
 class DropsAnswers(Machine):
     """Does not answer one request in twenty."""
 
-    def _finish(self, request: int, final: Final) -> None:
+    def _finish_request(self, request: int, final: Final) -> None:
         if request % FAULT_INTERVAL:
-            super()._finish(request, final)
+            super()._finish_request(request, final)
 
 
 class DuplicatesAnswers(Machine):
@@ -92,7 +92,7 @@
     def handle(self, now: float, event: ev.Event) -> list[ev.Action]:
         actions = super().handle(now, event)
         for action in list(actions):
-            if isinstance(action, ev.ToClient) and self.ids % FAULT_INTERVAL == 0:
+            if isinstance(action, ev.SendToClient) and self.last_request_id % FAULT_INTERVAL == 0:
                 actions.append(action)
         return actions
 
@@ -100,20 +100,20 @@
 class ExtendsDeadlines(Machine):
     """Gives requests a second more than the deadline of their class."""
 
-    def patience(self, kind: io.RequestClass) -> float:
-        return kind.deadline + 1.0
+    def answer_time_limit(self, request_class: io.RequestClass) -> float:
+        return request_class.deadline + 1.0
 
 
 class ClosesInsteadOfFailing(Machine):
     """Closes the client's connection where it should answer with an error."""
 
-    def _finish(self, request: int, final: Final) -> None:
+    def _finish_request(self, request: int, final: Final) -> None:
         if isinstance(final, Served):
-            return super()._finish(request, final)
-        pending = self.open.pop(request)
-        self.queues.leave(pending.ask.group, pending.ask.kind.name, self.now)
-        self.actions.append(ev.CloseClient(pending.ask.client))
-        self.front.lost(pending.ask.client)
+            return super()._finish_request(request, final)
+        pending = self.pending.pop(request)
+        self.queues.leave(pending.request.group, pending.request.request_class.name, self.now)
+        self.actions.append(ev.CloseClient(pending.request.client))
+        self.front.lost(pending.request.client)
 
 
 class BlocksBehindLateAnswers(RespFront):
@@ -126,10 +126,10 @@
 class ResendsAfterAnswer(Machine):
     """Sends a request to a member once more after its final answer."""
 
-    def _finish(self, request: int, final: Final) -> None:
-        pending = self.open.get(request)
+    def _finish_request(self, request: int, final: Final) -> None:
+        pending = self.pending.get(request)
         last_attempt = pending.attempts[-1] if pending is not None and pending.attempts else None
-        super()._finish(request, final)
+        super()._finish_request(request, final)
         if (
             pending is not None
             and last_attempt is not None
@@ -138,8 +138,8 @@
         ):
             link = last_attempt.link
             if link is not None and link.id in self.links:
-                data = pending.ask.exchange.payload(last_attempt.question)
-                self.at(self.now + 0.2, lambda: self.actions.append(ev.ToLink(link.id, data)))
+                data = pending.request.exchange.payload(last_attempt.status_query)
+                self.call_at(self.now + 0.2, lambda: self.actions.append(ev.SendToLink(link.id, data)))
 
 
 class IgnoresLeftClients(Machine):
@@ -154,13 +154,17 @@
 
     last_answer: bytes | None = None
 
-    def _finish(self, request: int, final: Final) -> None:
-        pending = self.open.get(request)
-        if isinstance(final, Served) and pending is not None and pending.ask.kind.need is Need.WRITE:
+    def _finish_request(self, request: int, final: Final) -> None:
+        pending = self.pending.get(request)
+        if (
+            isinstance(final, Served)
+            and pending is not None
+            and pending.request.request_class.need is Need.WRITE
+        ):
             previous, self.last_answer = self.last_answer, final.answer
             if previous is not None and request % 3 == 0:
                 final = Served(previous, final.seen)
-        super()._finish(request, final)
+        super()._finish_request(request, final)
 
 
 # ---- rule 2, no effect twice
@@ -169,50 +173,57 @@
 class RefusesFailedRequests(Machine):
     """Refuses requests that may have been executed, as if nothing had run."""
 
-    def _finish(self, request: int, final: Final) -> None:
-        super()._finish(request, Refused(0.1) if isinstance(final, Failed) else final)
+    def _finish_request(self, request: int, final: Final) -> None:
+        super()._finish_request(request, Refused(0.1) if isinstance(final, Failed) else final)
 
 
 class CallsFailedRequestsRepeatable(Machine):
     """Refuses requests that may have been executed and calls them safe to repeat, whatever their effect."""
 
-    def _finish(self, request: int, final: Final) -> None:
-        super()._finish(request, Refused(0.1, True) if isinstance(final, Failed) else final)
+    def _finish_request(self, request: int, final: Final) -> None:
+        super()._finish_request(request, Refused(0.1, True) if isinstance(final, Failed) else final)
 
 
 class ForgetsAttempts(Machine):
     """Takes every request for one that reached no member, so that it says nothing ran."""
 
-    def touched(self, request: int) -> bool:
+    def may_have_run(self, request: int) -> bool:
         return False
 
 
 class SendsReadsTwice(Machine):
     """Sends one read in twenty to two members at once."""
 
-    def _send(self, request: int, member: str, timeout: float) -> None:
-        super()._send(request, member, timeout)
-        pending, node = self.open.get(request), self.aliases.get(member)
-        if pending is None or node is None or pending.ask.kind.need is Need.WRITE or request % FAULT_INTERVAL:
+    def _start_attempt(self, request: int, member: str, timeout: float) -> None:
+        super()._start_attempt(request, member, timeout)
+        pending, record = self.pending.get(request), self.members_by_balancer_name.get(member)
+        if (
+            pending is None
+            or record is None
+            or pending.request.request_class.need is Need.WRITE
+            or request % FAULT_INTERVAL
+        ):
             return
-        for other in self.nodes.values():
-            if other.group == node.group and other is not node and (idle := other.idle.get(2)):
+        for other in self.members.values():
+            if other.group == record.group and other is not record and (idle := other.idle_links.get(2)):
                 link = idle.pop()  # the link is not used again, so its answer is ignored
-                del self.idle[link.id]
-                self.actions.append(ev.ToLink(link.id, pending.ask.exchange.payload(Question.NONE)))
+                del self.idle_links[link.id]
+                self.actions.append(
+                    ev.SendToLink(link.id, pending.request.exchange.payload(StatusQuery.NONE))
+                )
                 return
 
 
 class AcknowledgesUnsentWrites(Machine):
     """Acknowledges one write in twenty without sending it."""
 
-    def submit(self, ask: Ask) -> int:
-        if ask.kind.need is Need.WRITE and (self.ids + 1) % FAULT_INTERVAL == 0:
-            self.ids += 1
-            ask.ids.append(self.ids)
-            self.front.done(ask, Served(b":5\r\n"))
-            return self.ids
-        return super().submit(ask)
+    def submit(self, request: ClientRequest) -> int:
+        if request.request_class.need is Need.WRITE and (self.last_request_id + 1) % FAULT_INTERVAL == 0:
+            self.last_request_id += 1
+            request.ids.append(self.last_request_id)
+            self.front.done(request, Served(b":5\r\n"))
+            return self.last_request_id
+        return super().submit(request)
 
 
 # ---- rules 3 and 4, drains and cold members
@@ -221,23 +232,29 @@
 class IgnoresRosterChanges(Machine):
     """Ignores every roster after the first."""
 
-    def _roster(self, members: tuple[ev.Listed, ...], kind: io.ListKind = io.ListKind.FULL) -> None:
-        if not self.nodes:
-            super()._roster(members)
+    def _apply_roster(
+        self, members: tuple[ev.ListedMember, ...], kind: io.ListKind = io.ListKind.FULL
+    ) -> None:
+        if not self.members:
+            super()._apply_roster(members)
 
 
 class IgnoresDrains(Machine):
     """Takes every listed member for ready."""
 
-    def _roster(self, members: tuple[ev.Listed, ...], kind: io.ListKind = io.ListKind.FULL) -> None:
-        super()._roster(tuple(msgspec.structs.replace(one, state=io.State.READY) for one in members))
+    def _apply_roster(
+        self, members: tuple[ev.ListedMember, ...], kind: io.ListKind = io.ListKind.FULL
+    ) -> None:
+        super()._apply_roster(tuple(msgspec.structs.replace(one, state=io.State.READY) for one in members))
 
 
 class IgnoresStartTimes(Machine):
     """Takes every member for a warm one, as it ignores when members started."""
 
-    def _roster(self, members: tuple[ev.Listed, ...], kind: io.ListKind = io.ListKind.FULL) -> None:
-        super()._roster(tuple(msgspec.structs.replace(one, started=None) for one in members))
+    def _apply_roster(
+        self, members: tuple[ev.ListedMember, ...], kind: io.ListKind = io.ListKind.FULL
+    ) -> None:
+        super()._apply_roster(tuple(msgspec.structs.replace(one, started=None) for one in members))
 
 
 # ---- rule 5, no stale read
@@ -250,9 +267,9 @@
         super().__init__(*args)  # type: ignore[arg-type]
         resp_proofs(self).proves = lambda attempt, fact: True  # type: ignore[method-assign]
 
-    def submit(self, ask: Ask) -> int:
-        ask.seen, ask.current = None, False
-        return super().submit(ask)
+    def submit(self, request: ClientRequest) -> int:
+        request.must_reflect, request.must_see_all = None, False
+        return super().submit(request)
 
 
 class AlwaysCurrentTrack(ReplicationHistory):
@@ -288,18 +305,22 @@
 class DropsTokensOfReads(Machine):
     """Gives sessions no token for the positions of their reads."""
 
-    def _finish(self, request: int, final: Final) -> None:
-        pending = self.open.get(request)
-        if isinstance(final, Served) and pending is not None and pending.ask.kind.need is not Need.WRITE:
+    def _finish_request(self, request: int, final: Final) -> None:
+        pending = self.pending.get(request)
+        if (
+            isinstance(final, Served)
+            and pending is not None
+            and pending.request.request_class.need is not Need.WRITE
+        ):
             final = Served(final.answer)
-        super()._finish(request, final)
+        super()._finish_request(request, final)
 
 
 class DropsAllTokens(Machine):
     """Gives sessions no token for the positions of their reads and writes."""
 
-    def _finish(self, request: int, final: Final) -> None:
-        super()._finish(request, Served(final.answer) if isinstance(final, Served) else final)
+    def _finish_request(self, request: int, final: Final) -> None:
+        super()._finish_request(request, Served(final.answer) if isinstance(final, Served) else final)
 
 
 def swapping_read_answers(need: Need, among: tuple[Need, ...] | None = None) -> type[Machine]:
@@ -312,15 +333,15 @@
     class SwapsReadAnswers(Machine):
         last_answer: bytes | None = None
 
-        def _finish(self, request: int, final: Final) -> None:
-            pending = self.open.get(request)
+        def _finish_request(self, request: int, final: Final) -> None:
+            pending = self.pending.get(request)
             if isinstance(final, Served) and pending is not None:
                 previous = self.last_answer
-                if pending.ask.kind.need in (among or (need,)):
+                if pending.request.request_class.need in (among or (need,)):
                     self.last_answer = final.answer
-                if pending.ask.kind.need is need and previous is not None and request % 5 == 0:
+                if pending.request.request_class.need is need and previous is not None and request % 5 == 0:
                     final = Served(previous, final.seen)
-            super()._finish(request, final)
+            super()._finish_request(request, final)
 
     return SwapsReadAnswers
 
@@ -348,22 +369,26 @@
         super().__init__(*args)
         self.cached_answers: dict[bytes, bytes] = {}
 
-    def submit(self, ask: Ask) -> int:
-        key = ask.exchange.payload(Question.NONE).partition(b":rid:")[0]
-        if ask.kind.need is Need.ANY and key in self.cached_answers and self.ids % 3 == 0:
-            self.ids += 1
-            ask.ids.append(self.ids)
-            self.front.done(ask, Served(self.cached_answers[key]))
-            return self.ids
-        return super().submit(ask)
-
-    def _finish(self, request: int, final: Final) -> None:
-        pending = self.open.get(request)
+    def submit(self, request: ClientRequest) -> int:
+        key = request.exchange.payload(StatusQuery.NONE).partition(b":rid:")[0]
+        if (
+            request.request_class.need is Need.ANY
+            and key in self.cached_answers
+            and self.last_request_id % 3 == 0
+        ):
+            self.last_request_id += 1
+            request.ids.append(self.last_request_id)
+            self.front.done(request, Served(self.cached_answers[key]))
+            return self.last_request_id
+        return super().submit(request)
+
+    def _finish_request(self, request: int, final: Final) -> None:
+        pending = self.pending.get(request)
         if isinstance(final, Served) and pending is not None:
-            self.cached_answers[pending.ask.exchange.payload(Question.NONE).partition(b":rid:")[0]] = (
+            self.cached_answers[pending.request.exchange.payload(StatusQuery.NONE).partition(b":rid:")[0]] = (
                 final.answer
             )
-        super()._finish(request, final)
+        super()._finish_request(request, final)
 
 
 SAFE: dict[str, object] = {"effect": Effect.SAFE}
--- a/tests/surroundings.py
+++ b/tests/surroundings.py
@@ -23,7 +23,7 @@
 
     async def run_in_loop() -> None:
         async with anyio.create_task_group() as tasks:
-            env = SocketEnv(tasks, alone=alone)
+            env = SocketEnv(tasks, exclusive_loop=alone)
             is_done, end = start(env), env.now() + PATIENCE
 
             def check() -> None:
--- a/tests/test_fleet_daemon.py
+++ b/tests/test_fleet_daemon.py
@@ -108,7 +108,7 @@
         for message in FrameDecoder().feed(data):
             self.notes.append(f"{self.name}: {type(message).__name__}")
 
-    def finish(self, away: bool = False) -> None:
+    def finish(self, discard_input: bool = False) -> None:
         self.notes.append(f"{self.name}: finish")
 
     def close(self) -> None:
@@ -165,7 +165,7 @@
     )
     host.start()
     for name in ("v0", "v1"):  # the link to v2 never comes up
-        env.peers[name].up(env.handles[name])
+        env.peers[name].connected(env.handles[name])
         env.peers[name].data(encode(Hello(PROTOCOL_VERSION, "game", name, 1, plan.voters, 9.0, 0.0)))
     env.notes.clear()
     waited_for = host.leave()
--- a/tests/test_many_members.py
+++ b/tests/test_many_members.py
@@ -9,9 +9,9 @@
 from banklift.discovery import catalogue as lists
 from banklift.emulator.platform import Catalogue, PgNode
 from banklift.emulator.world import World
-from banklift.net.service import Service, Start, parse
+from banklift.net.service import Service, StartConfig, parse
 from banklift.net.sockets import SocketEnv
-from tests.platform_site import SETTINGS, Caller, Site, value
+from tests.platform_site import SETTINGS, Site, SiteClient, value
 
 MEMBERS, GROUPS, SOCKETS = 1100, 60, 512
 
@@ -43,64 +43,64 @@
             "seed": "5",
             "known": json.loads(json.dumps(listing)) if known else None,
         }
-        self.start: Start = parse(
+        self.start: StartConfig = parse(
             {key: setting for key, setting in config.items() if setting is not None}, environment
         )
         assert self.start.settings == parse_settings({**SETTINGS, "balancers": 230})
         self.service = Service(cast(SocketEnv, self.world), self.start, {}, self.note)
         self.machine, self.host = self.service.machine, self.service.host
-        self.core, self.discovery = self.service.core, self.service.discovery
+        self.core, self.discovery = self.service.catalogue_client, self.service.discovery
         self.run(0.05)
 
 
 def check_that_all_groups_are_served(fleet: Fleet) -> None:
     """Send a write to every group, and reads that have to reach hundreds of members."""
-    caller = Caller(fleet)
+    caller = SiteClient(fleet)
     for group in range(GROUPS):
-        assert value(caller.ask(fleet.write(f"k{group}", cluster=group), 0.1))
+        assert value(caller.query(fleet.write(f"k{group}", cluster=group), 0.1))
     for round_number in range(10):
         for group in range(GROUPS):
-            assert value(caller.ask(fleet.read("any", f"k{group}-{round_number}", cluster=group), 0.1))
+            assert value(caller.query(fleet.read("any", f"k{group}-{round_number}", cluster=group), 0.1))
     assert sum(bool(node.seen) for node in fleet.nodes.values()) > 400
     assert len(fleet.machine.links) <= fleet.machine.limits.all_links < 300
 
 
 def test_all_members_are_in_the_configuration() -> None:
     fleet = Fleet(known=True)
-    assert len(fleet.machine.nodes) == len(fleet.machine.balancer.members) == MEMBERS
+    assert len(fleet.machine.members) == len(fleet.machine.balancer.members) == MEMBERS
     check_that_all_groups_are_served(fleet)
 
 
 def test_all_members_come_by_discovery_and_change_at_once() -> None:
     fleet = Fleet(known=False)
-    assert len(fleet.machine.nodes) == MEMBERS
+    assert len(fleet.machine.members) == MEMBERS
     for name, node in list(fleet.nodes.items())[GROUPS:]:
         fleet.catalogue.list(name, node.address, int(name[2:], 16) % GROUPS, state="DRAINING")
     fleet.run(1.0)
-    draining = [node for node in fleet.machine.nodes.values() if node.state.name == "DRAINING"]
+    draining = [member for member in fleet.machine.members.values() if member.state.name == "DRAINING"]
     assert len(draining) == MEMBERS - GROUPS
     for name, node in list(fleet.nodes.items())[GROUPS:]:
         fleet.catalogue.list(name, node.address, int(name[2:], 16) % GROUPS)
     fleet.run(1.0)
     check_that_all_groups_are_served(fleet)
-    assert lists.read(json.dumps(fleet.catalogue.whole()).encode()).targets[-1].uid == f"s-{MEMBERS - 1:08x}"
+    assert lists.parse(json.dumps(fleet.catalogue.whole()).encode()).targets[-1].uid == f"s-{MEMBERS - 1:08x}"
 
 
 def test_the_longest_idle_link_is_closed_to_make_room() -> None:
     fleet = Fleet(known=True)
-    caller = Caller(fleet)
+    caller = SiteClient(fleet)
     max_links = fleet.machine.limits.all_links
     for round_number in range(12):
         for group in range(GROUPS):
-            assert value(caller.ask(fleet.read("any", f"k{round_number}", cluster=group)))
+            assert value(caller.query(fleet.read("any", f"k{round_number}", cluster=group)))
     assert len(fleet.machine.links) == max_links
-    idle_since = [link.since for link in fleet.machine.idle.values()]
+    idle_since = [link.idle_since for link in fleet.machine.idle_links.values()]
     assert idle_since == sorted(idle_since)
-    linked_before = {link.node.name for link in fleet.machine.links.values()}
-    longest_idle = next(iter(fleet.machine.idle.values())).node.name
+    linked_before = {link.member.name for link in fleet.machine.links.values()}
+    longest_idle = next(iter(fleet.machine.idle_links.values())).member.name
     unlinked = next(name for name in fleet.nodes if name not in linked_before)
-    fleet.machine.at(fleet.world.now(), lambda: fleet.machine.probe(fleet.machine.nodes[unlinked]))
-    fleet.host.alarm.look()
+    fleet.machine.call_at(fleet.world.now(), lambda: fleet.machine.probe(fleet.machine.members[unlinked]))
+    fleet.host.timer.reschedule()
     fleet.run(0.05)
-    linked = {link.node.name for link in fleet.machine.links.values()}
+    linked = {link.member.name for link in fleet.machine.links.values()}
     assert unlinked in linked and longest_idle not in linked and len(fleet.machine.links) == max_links
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -12,7 +12,7 @@
 from banklift.config import build
 from banklift.decide.queues import MIN_RETRY_AFTER, Queues
 from banklift.proxy import events as ev
-from banklift.proxy.timers import FEW, Timer, Timers
+from banklift.proxy.timers import MAX_CANCELLED_KEPT, Timer, Timers
 from banklift.resp.frames import command
 from banklift.resp.front import Place, RespFront
 from tests.test_machine import Rig, info
@@ -23,7 +23,7 @@
     timers = Timers()
     ran = list[int]()
     timer_handles = [
-        timers.at(float(when), lambda number=number: ran.append(number))  # type: ignore[misc]
+        timers.call_at(float(when), lambda number=number: ran.append(number))  # type: ignore[misc]
         for number, (when, _) in enumerate(requested)
     ]
     for timer, (_, cancelled) in zip(timer_handles, requested, strict=True):
@@ -42,11 +42,11 @@
 
 def test_cancelled_timers_take_no_room() -> None:
     timers = Timers()
-    kept = timers.at(1e9, lambda: None)
+    kept = timers.call_at(1e9, lambda: None)
     for number in range(10_000):
-        timers.cancel(timers.at(float(number), lambda: None))
-        assert timers.room <= 2 * FEW + 4
-    assert len(timers) == 1 and timers.next == 1e9 and kept.call is not None
+        timers.cancel(timers.call_at(float(number), lambda: None))
+        assert timers.heap_size <= 2 * MAX_CANCELLED_KEPT + 4
+    assert len(timers) == 1 and timers.next == 1e9 and kept.callback is not None
 
 
 def test_a_timer_may_set_and_cancel_others() -> None:
@@ -57,11 +57,11 @@
     def first() -> None:
         ran.append("first")
         timers.cancel(later[0])
-        timers.at(1.0, lambda: ran.append("now"))
-        timers.at(3.0, lambda: ran.append("much later"))
+        timers.call_at(1.0, lambda: ran.append("now"))
+        timers.call_at(3.0, lambda: ran.append("much later"))
 
-    timers.at(1.0, first)
-    later.append(timers.at(2.0, lambda: ran.append("later")))
+    timers.call_at(1.0, first)
+    later.append(timers.call_at(2.0, lambda: ran.append("later")))
     timers.run(2.0)
     assert ran == ["first", "now"]
 
@@ -100,15 +100,15 @@
     rig = Rig(queue=2)
     rig.offsets.clear()  # no member answers, so all requests are held
     for _ in range(3):
-        rig.ask("SET", "note:1", "a")
+        rig.send_command("SET", "note:1", "a")
     assert rig.answer() == b""  # a client gets its answers in the order of its requests
-    rig.tell(ev.ClientOpened(2))
-    rig.ask("SET", "note:1", "a", client=2)
+    rig.handle(ev.ClientOpened(2))
+    rig.send_command("SET", "note:1", "a", client=2)
     assert rig.answer(2) == b""  # the first client's third request waits for its turn and is not pending
-    rig.tell(ev.ClientOpened(3))
-    rig.ask("SET", "note:1", "a", client=3)
+    rig.handle(ev.ClientOpened(3))
+    rig.send_command("SET", "note:1", "a", client=3)
     assert rig.answer(3) == b"-TRYAGAIN refused: nothing ran; retry_after_ms=1000\r\n"
-    rig.ask("SET", "pick:1", "a", client=3)  # another class
+    rig.send_command("SET", "pick:1", "a", client=3)  # another class
     assert rig.answer(3) == b""
 
 
@@ -116,62 +116,67 @@
     """An attempt beyond the bound never goes to the member. The balancer holds its request, which ends in time."""
     rig = Rig(links=1, waiting=2)
     for client in range(2, 12):
-        rig.tell(ev.ClientOpened(client))
-        rig.ask("GET", "alert:1", client=client)
-    assert {node.name: node.queued for node in rig.machine.nodes.values()} == {"p": 2, "r": 2}
+        rig.handle(ev.ClientOpened(client))
+        rig.send_command("GET", "alert:1", client=client)
+    assert {member.name: member.waiting_count for member in rig.machine.members.values()} == {"p": 2, "r": 2}
     rig.wait(3.0)
-    assert all(rig.answer(client) for client in range(2, 12)) and not rig.machine.open
+    assert all(rig.answer(client) for client in range(2, 12)) and not rig.machine.pending
 
 
 def test_nothing_remains_after_a_flood_of_requests() -> None:
     """All clients leave, in any order. No queue, timer or heap keeps any of their requests."""
     rig = Rig(links=4, waiting=50)
-    rig.ask("SET", "note:1", "a")
-    link = rig.up("p:1")
-    rig.tell(ev.LinkData(link, b"+OK\r\n" + info(True, 9)))
+    rig.send_command("SET", "note:1", "a")
+    link = rig.connect("p:1")
+    rig.handle(ev.LinkData(link, b"+OK\r\n" + info(True, 9)))
     clients = list(range(2, 402))
     for client in clients:
-        rig.tell(ev.ClientOpened(client))
-        rig.ask("SET" if client % 2 else "GET", "note:1", *("a",) * (client % 2), client=client)
+        rig.handle(ev.ClientOpened(client))
+        rig.send_command("SET" if client % 2 else "GET", "note:1", *("a",) * (client % 2), client=client)
     machine = rig.machine
-    assert len(machine.open) > 300
+    assert len(machine.pending) > 300
     Random(1).shuffle(clients)
     for client in clients:
-        rig.tell(ev.ClientLost(client))
+        rig.handle(ev.ClientLost(client))
     rig.wait(1.0)
     group = machine.balancer.groups[0]
-    assert not machine.open and not machine.flying and not machine.balancer.requests
+    assert not machine.pending and not machine.in_flight and not machine.balancer.requests
     assert not any(group.held.values()) and not group.hold_ends
-    assert all(node.queued == 0 and not any(node.waiting.values()) for node in machine.nodes.values())
+    assert all(
+        member.waiting_count == 0 and not any(member.waiting_attempts.values())
+        for member in machine.members.values()
+    )
     assert all(queue.pending == 0 for queue in machine.queues.queues.values())
     assert len(machine.front.clients) == 1  # type: ignore[attr-defined]
     assert not machine.front.places  # type: ignore[attr-defined]
     rig.wait(10.0)
-    assert len(machine.timers) < 20 and machine.timers.room < 2 * FEW + 40
+    assert len(machine.timers) < 20 and machine.timers.heap_size < 2 * MAX_CANCELLED_KEPT + 40
 
 
 def test_an_overdue_request_is_given_up_for_those_behind_it_in_a_pipeline() -> None:
     """A write in flight has two seconds, the read pipelined behind it 1.2: both are answered by the read's deadline."""
     rig = Rig()
-    rig.tell(ev.ClientData(1, command("SET", "pick:1", "a") + command("GET", "alert:1") + command("PING")))
-    rig.up("p:1")
+    rig.handle(ev.ClientData(1, command("SET", "pick:1", "a") + command("GET", "alert:1") + command("PING")))
+    rig.connect("p:1")
     rig.wait(1.15)
     assert rig.answer() == b""
     rig.wait(0.05)
     answers = rig.answer()
     assert answers.startswith(b"-UNCERTAIN") and answers.endswith(b"+PONG\r\n")
-    assert not rig.machine.open and not rig.machine.front.places  # type: ignore[attr-defined]
+    assert not rig.machine.pending and not rig.machine.front.places  # type: ignore[attr-defined]
 
 
 def test_an_unsafe_write_in_flight_that_is_given_up_fails_as_uncertain() -> None:
     rig = Rig()
-    rig.tell(ev.ClientData(1, command("SET", "pick:1", "a") + command("GET", "alert:1")))
-    link = rig.up("p:1")
+    rig.handle(ev.ClientData(1, command("SET", "pick:1", "a") + command("GET", "alert:1")))
+    link = rig.connect("p:1")
     rig.wait(1.2)
     assert rig.answer().startswith(b"-UNCERTAIN failed: it may have run")
     assert link in rig.closed  # so its late answer cannot reach another request
-    rig.ask("SET", "pick:1", "b")  # the client may send again
-    assert any(b"\r\nb\r\n" in data for other, data in rig.sent.items() if other != link) or rig.machine.open
+    rig.send_command("SET", "pick:1", "b")  # the client may send again
+    assert (
+        any(b"\r\nb\r\n" in data for other, data in rig.sent.items() if other != link) or rig.machine.pending
+    )
 
 
 def test_giving_up_a_request_may_end_others_of_its_pipeline() -> None:
@@ -196,10 +201,10 @@
 
 def test_wait_may_delay_the_requests_behind_it() -> None:
     rig = Rig()
-    rig.ask("SET", "note:1", "a")
-    rig.tell(ev.LinkData(rig.up("p:1"), b"+OK\r\n" + info(True, 50)))
+    rig.send_command("SET", "note:1", "a")
+    rig.handle(ev.LinkData(rig.connect("p:1"), b"+OK\r\n" + info(True, 50)))
     rig.answer()
-    rig.tell(ev.ClientData(1, command("WAIT", 2, 3000) + command("GET", "alert:1")))
+    rig.handle(ev.ClientData(1, command("WAIT", 2, 3000) + command("GET", "alert:1")))
     rig.wait(2.9)
     assert rig.answer() == b""
     rig.wait(0.2)
