--- a/banklift/fleet/aggregator.py
+++ b/banklift/fleet/aggregator.py
@@ -45,7 +45,7 @@
 from random import Random
 
 from banklift.fleet import holder
-from banklift.fleet.holder_table import Entry
+from banklift.fleet.holder_table import HolderEntry
 from banklift.fleet.messages import LeaseGrant, LeaseRelease, LeaseRequest, RenewNow, Summary
 from banklift.fleet.parent_lease import ChangeView, ParentLease
 from banklift.fleet.state import Stage
@@ -96,11 +96,11 @@
 
     def voter_up(self, now: float, voter: str) -> list[Action]:
         """The link to a voter is up."""
-        return self._advance(now, self.parent.up(now, voter))
+        return self._advance(now, self.parent.link_up(now, voter))
 
     def voter_down(self, now: float, voter: str) -> list[Action]:
         """The link to a voter is down."""
-        return self._advance(now, self.parent.down(now, voter))
+        return self._advance(now, self.parent.link_down(now, voter))
 
     def renew_now(self, now: float, voter: str, news: RenewNow) -> list[Action]:
         """A voter asks for a new request, as something has changed."""
@@ -133,7 +133,7 @@
         self.table.release(now, name, incarnation, release)
         return self._advance(now, [])
 
-    def change_news(self, entry: Entry) -> RenewNow:
+    def change_news(self, entry: HolderEntry) -> RenewNow:
         """The message that tells a router of the change to check, with the policy's text if the router lacks it."""
         view = self.applied_view
         return RenewNow(
@@ -185,7 +185,7 @@
             return
         previous_view, self.applied_view = self.applied_view, view
         self.table.apply_view(now, view)
-        if view.stage == Stage.AGREED and self.table.sealed == view.change:
+        if view.stage == Stage.AGREED and self.table.sealed_change == view.change:
             # A refusal that came after this aggregator had accepted was too late to stop the change.
             self.parent.verdict = ()
         if view.change and view.change != previous_view.change:
--- a/banklift/fleet/aggregator_node.py
+++ b/banklift/fleet/aggregator_node.py
@@ -8,7 +8,7 @@
 
 from banklift.fleet.actions import LogLine
 from banklift.fleet.aggregator import Action, Aggregator, AnnounceRenewal
-from banklift.fleet.holder import SendToGrantor, Stalled
+from banklift.fleet.holder import LinkStalled, SendToGrantor
 from banklift.fleet.links import Link
 from banklift.fleet.member import Member
 from banklift.fleet.messages import (
@@ -119,7 +119,7 @@
                 case SendToGrantor(voter, message):
                     if (link := self.links.to(Role.ROUTER, voter)) is not None:
                         self.links.write(link, message)
-                case Stalled(voter):
+                case LinkStalled(voter):
                     if (link := self.links.to(Role.ROUTER, voter)) is not None:
                         self.links.end(link, "no answer: the link has stalled")
                 case AnnounceRenewal():
--- a/banklift/fleet/holder.py
+++ b/banklift/fleet/holder.py
@@ -19,7 +19,7 @@
 | waiting | an answer without lease or reason came | answered; the next request is due after a third of a lease | - |
 | waiting | a refusal came | answered; the next request is due after a wait that doubles with each refusal | - |
 | waiting | the request is due again without an answer | waiting | another request, with exponential back-off |
-| waiting | no answer for `stall_time`, twice as long the next time | no link | `Stalled`: the link is made again |
+| waiting | no answer for `stall_time`, twice as long the next time | no link | `LinkStalled`: the link is made again |
 | any | the link is down | no link; what the grantor granted stays valid | - |
 
 An answer that is late, duplicated, or belongs to an earlier link matches no pending request and is dropped.
@@ -45,7 +45,7 @@
 MIN_RENEWAL_WAIT_FRACTION = 1 / 50
 # First wait after a refusal before the next request, as a fraction of a lease. Clients that are turned away for lack
 # of a lease are also told to try again after this time.
-RETRY_PART = 1 / 20
+RETRY_FRACTION = 1 / 20
 # A link counts as stalled when a request has had no answer for this fraction of a lease.
 STALL_TIME_FRACTION = 1 / 4
 # Shortest time after which a link counts as stalled: where thousands of holders send requests at one moment, an
@@ -80,22 +80,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseExtended:
+class LeaseEndChanged:
     """The router may serve until `time`, and no longer unless a later action says so. `time` may be earlier than the
     one before, also in the past. `retry_after`: seconds after which a client may try again if the lease ends."""
 
-    time: float
+    serve_until: float
     retry_after: float
 
 
 @dataclass(frozen=True, slots=True)
-class Stalled:
+class LinkStalled:
     """The link to `grantor` delivers nothing: end it and make a new one."""
 
     grantor: str
 
 
-Action = SendToGrantor | EpochAdopted | LeaseExtended | Stalled | LogLine
+Action = SendToGrantor | EpochAdopted | LeaseEndChanged | LinkStalled | LogLine
 
 
 @dataclass(frozen=True, slots=True)
@@ -141,11 +141,11 @@
     newest_grant: HeldGrant = NO_GRANT
     oldest_held: int = 0  # number of the oldest grant of this grantor that the holder still relies on
     # When each unanswered request was sent, by its number; the oldest request comes first.
-    pending: dict[int, float] = field(default_factory=dict)
+    pending_requests: dict[int, float] = field(default_factory=dict)
     retries: int = 0  # requests in a row that were sent again for lack of an answer
     refusals: int = 0  # answers in a row that gave no lease
     stalls: int = 0  # links in a row that delivered no answer
-    due: float = math.inf  # when the next request is sent
+    next_request_at: float = math.inf  # when the next request is sent
     last_heard: float = -math.inf  # when its last message came, or its link came up
     refusal_reason: str = ""  # why its last answer gave no lease; empty if it gave one
     # Id of the change whose policy it asked to have checked. Grantors may know of different changes for a while.
@@ -168,7 +168,7 @@
         self.stall_time = min(
             max(STALL_TIME_FRACTION * lease, MIN_STALL_TIME_S), MAX_STALL_TIME_FRACTION * lease
         )
-        self.numbers = 0  # number of the last request, to whichever grantor
+        self.last_number = 0  # number of the last request, to whichever grantor
         self.actions: list[Action] = []
 
     # ---- hooks for subclasses
@@ -196,18 +196,18 @@
 
     # ---- events
 
-    def up(self, now: float, name: str) -> list[Action]:
+    def link_up(self, now: float, name: str) -> list[Action]:
         """The link to the grantor `name` is up."""
         grantor = self.grantors[name]
         grantor.linked = True
         grantor.last_heard = now
         grantor.retries = 0
-        grantor.pending.clear()
+        grantor.pending_requests.clear()
         if self._requests_from(name):
             self._send_request(now, name)
         return self._take_actions(now)
 
-    def down(self, now: float, name: str) -> list[Action]:
+    def link_down(self, now: float, name: str) -> list[Action]:
         """The link to the grantor `name` is down. What it granted stays valid until it ends."""
         self._mark_unlinked(name)
         return self._take_actions(now)
@@ -219,16 +219,18 @@
         """
         grantor = self.grantors[name]
         grantor.last_heard = now
-        if self._news_received(grantor, news) or not grantor.pending:
+        if self._news_received(grantor, news) or not grantor.pending_requests:
             self._send_request(now, name)
         return self._take_actions(now)
 
     def granted(self, now: float, name: str, grant: LeaseGrant) -> list[Action]:
         """The grantor answered a request. An answer that matches no pending request is ignored."""
         grantor = self.grantors[name]
-        sent_at = grantor.pending.get(grant.number)
+        sent_at = grantor.pending_requests.get(grant.number)
         if sent_at is not None:
-            grantor.pending = {number: at for number, at in grantor.pending.items() if number > grant.number}
+            grantor.pending_requests = {
+                number: at for number, at in grantor.pending_requests.items() if number > grant.number
+            }
             self._record_answer(now, name, sent_at, grant)
         return self._take_actions(now)
 
@@ -240,9 +242,9 @@
             if self._stall_deadline(grantor) <= now:
                 grantor.stalls += 1
                 self._mark_unlinked(name)
-                self.actions.append(Stalled(name))
-            elif grantor.due <= now:
-                grantor.retries += bool(grantor.pending)
+                self.actions.append(LinkStalled(name))
+            elif grantor.next_request_at <= now:
+                grantor.retries += bool(grantor.pending_requests)
                 self._send_request(now, name)
         return self._take_actions(now)
 
@@ -250,8 +252,8 @@
         """When `wake` next has something to do; infinity if nothing is scheduled."""
         due = math.inf
         for grantor in self.grantors.values():
-            due = min(due, grantor.due)
-            if grantor.linked and grantor.pending:
+            due = min(due, grantor.next_request_at)
+            if grantor.linked and grantor.pending_requests:
                 due = min(due, self._stall_deadline(grantor))
         return due
 
@@ -260,12 +262,12 @@
     def _mark_unlinked(self, name: str) -> None:
         grantor = self.grantors[name]
         grantor.linked = False
-        grantor.due = math.inf
-        grantor.pending.clear()
+        grantor.next_request_at = math.inf
+        grantor.pending_requests.clear()
 
     def _stall_deadline(self, grantor: Grantor) -> float:
         """When the link counts as stalled if no answer comes; infinity if no request is pending."""
-        oldest_sent_at = next(iter(grantor.pending.values()), math.inf)
+        oldest_sent_at = next(iter(grantor.pending_requests.values()), math.inf)
         stall_time: float = self.stall_time * 2 ** min(grantor.stalls, MAX_STALL_TIME_DOUBLINGS)
         return oldest_sent_at + stall_time
 
@@ -274,11 +276,11 @@
         grantor = self.grantors[name]
         if not grantor.linked:
             return
-        self.numbers += 1
-        grantor.pending[self.numbers] = now
+        self.last_number += 1
+        grantor.pending_requests[self.last_number] = now
         wait = RESEND_FRACTION * self.stall_time * 2 ** min(grantor.retries, MAX_BACKOFF_DOUBLINGS)
-        grantor.due = now + wait * self.random.uniform(0.8, 1.2)
-        self.actions.append(SendToGrantor(name, self._build_request(self.numbers, grantor)))
+        grantor.next_request_at = now + wait * self.random.uniform(0.8, 1.2)
+        self.actions.append(SendToGrantor(name, self._build_request(self.last_number, grantor)))
 
     def _record_answer(self, now: float, name: str, sent_at: float, grant: LeaseGrant) -> None:
         """Record the answer to a request that was sent at `sent_at`, with the grant in times of this clock."""
@@ -298,14 +300,14 @@
             )
         self._schedule_request(now, grantor, grant)
         if not self._requests_from(name):
-            grantor.due = math.inf
+            grantor.next_request_at = math.inf
         self._answer_recorded(now, name, previous, grant)
 
     def _schedule_request(self, now: float, grantor: Grantor, grant: LeaseGrant) -> None:
         """Schedule the next request to this grantor after its answer: a renewal, or a retry after a refusal."""
         grantor.refusals = grantor.refusals + 1 if grant.reason else 0
         if grant.reason:
-            wait = RETRY_PART * self.lease * 2 ** min(grantor.refusals - 1, MAX_BACKOFF_DOUBLINGS)
+            wait = RETRY_FRACTION * self.lease * 2 ** min(grantor.refusals - 1, MAX_BACKOFF_DOUBLINGS)
         elif grant.ttl > 0 or grant.next_epoch:
             granted_time = grant.next_epoch_ttl if grant.next_epoch else grant.ttl
             is_long = granted_time > SHORT_GRANT_FRACTION * self.lease
@@ -315,4 +317,6 @@
             # The grantor waits for this holder's verdict on a change, which another request will carry.
             wait = RENEWAL_FRACTION * self.lease
         renew_at = now + wait * self.random.uniform(0.8, 1.0)
-        grantor.due = min(grantor.due, renew_at) if grantor.pending else renew_at
+        grantor.next_request_at = (
+            min(grantor.next_request_at, renew_at) if grantor.pending_requests else renew_at
+        )
--- a/banklift/fleet/holder_table.py
+++ b/banklift/fleet/holder_table.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Entry:
+class HolderEntry:
     """What the grantor knows of one incarnation of one holder."""
 
     name: str
@@ -66,7 +66,7 @@
     serving_epoch: int = 0  # the epoch that it serves; 0: none
     last_number: int = 0  # number of its newest message
     outstanding: dict[int, OutstandingGrant] = field(default_factory=dict)  # by the number of the request
-    change: str = ""  # id of the change that its verdict is on
+    change_id: str = ""  # id of the change that its verdict is on
     # Reasons against that change, an empty tuple if it accepts; None: it has given no verdict yet.
     verdict: tuple[str, ...] | None = None
     closing_epoch: int = 0  # the last epoch on which it was granted a short lease
@@ -91,7 +91,8 @@
     """Entries of holders, and indexes over them."""
 
     def __init__(self) -> None:
-        self.entries: OrderedDict[HolderKey, Entry] = OrderedDict()  # the one that was heard last comes last
+        # the one that was heard last comes last
+        self.entries: OrderedDict[HolderKey, HolderEntry] = OrderedDict()
         self.lease_ends: EndIndex[HolderKey] = EndIndex()  # ends of all outstanding leases
         self.unanswered: EndIndex[HolderKey] = EndIndex()  # holders without a verdict on the change under way
         self.refusing: EndIndex[HolderKey] = EndIndex()  # holders that refuse the change under way
@@ -124,9 +125,9 @@
         is_refused = bool(self.refusing) if self.checking else self.refusing.latest() > now
         return not is_refused and self.unanswered.latest() <= now
 
-    def has_accepted(self, entry: Entry, change: str) -> bool:
+    def has_accepted(self, entry: HolderEntry, change: str) -> bool:
         """Whether the holder has accepted the change with this id."""
-        return entry.change == change and entry.verdict == ()
+        return entry.change_id == change and entry.verdict == ()
 
     def refusals(self, now: float) -> tuple[Holder, ...]:
         """Holders that refuse the change under way, up to `MAX_REPORTED_REFUSALS`."""
@@ -160,7 +161,7 @@
         }
         self.update_indexes(entry)
 
-    def find_or_add(self, now: float, name: str, incarnation: int) -> Entry | None:
+    def find_or_add(self, now: float, name: str, incarnation: int) -> HolderEntry | None:
         """The entry of this incarnation, a new one if there is none; None if the table is full."""
         key = name, incarnation
         entry = self.entries.get(key)
@@ -170,10 +171,10 @@
         self._make_room(now)
         if len(self.entries) >= MAX_HOLDERS:
             return None
-        entry = self.entries[key] = Entry(name, incarnation, now)
+        entry = self.entries[key] = HolderEntry(name, incarnation, now)
         return entry
 
-    def record_request(self, now: float, entry: Entry, request: LeaseRequest) -> None:
+    def record_request(self, now: float, entry: HolderEntry, request: LeaseRequest) -> None:
         """Record what a request tells of its sender. The caller updates the indexes afterwards."""
         entry.last_number = request.number
         entry.last_heard = now
@@ -186,23 +187,23 @@
         if self.change_id and request.change == self.change_id:
             self._record_verdict(now, entry, request)
 
-    def _record_verdict(self, now: float, entry: Entry, request: LeaseRequest) -> None:
+    def _record_verdict(self, now: float, entry: HolderEntry, request: LeaseRequest) -> None:
         """Record the verdict on the change under way.
 
         The first verdict stands, with one exception: while the change is being checked, acceptance may become a
         refusal, as an aggregator that has accepted may get a router that refuses.
         """
-        is_first = entry.change != self.change_id
+        is_first = entry.change_id != self.change_id
         if is_first:
             self.answers_until_half -= 1
             if self.answers_until_half == 0:
                 self.median_answer_time = now - self.change_begun_at
         is_withdrawn = self.checking and entry.verdict == () and bool(request.verdict)
         if is_first or is_withdrawn:
-            entry.change = request.change
+            entry.change_id = request.change
             entry.verdict = request.verdict
 
-    def update_indexes(self, entry: Entry) -> None:
+    def update_indexes(self, entry: HolderEntry) -> None:
         """Update the indexes after an entry has changed."""
         end = entry.last_end()
         if end > -math.inf:
@@ -212,9 +213,9 @@
         if self.change_id:
             self._index_verdict(entry)
 
-    def _index_verdict(self, entry: Entry) -> None:
+    def _index_verdict(self, entry: HolderEntry) -> None:
         key, end = entry.key, entry.last_end()
-        has_answered = entry.change == self.change_id
+        has_answered = entry.change_id == self.change_id
         if not has_answered and end > -math.inf:
             self.unanswered.set(key, end)
         else:
@@ -236,7 +237,7 @@
 
     # ---- for operators
 
-    def live(self, now: float) -> Iterator[Entry]:
+    def live(self, now: float) -> Iterator[HolderEntry]:
         """Entries with a lease that has not ended. Looks at all entries."""
         return (entry for entry in self.entries.values() if entry.last_end() > now)
 
@@ -245,9 +246,9 @@
         entries = sorted(self.entries.values(), key=lambda entry: entry.key)
         return tuple(self.describe(now, entry) for entry in entries)
 
-    def describe(self, now: float, entry: Entry) -> Holder:
+    def describe(self, now: float, entry: HolderEntry) -> Holder:
         """One entry as it is shown to operators and sent to the driver of a change."""
-        verdict = entry.verdict if self.change_id and entry.change == self.change_id else None
+        verdict = entry.verdict if self.change_id and entry.change_id == self.change_id else None
         lease_left = max(0.0, entry.last_end() - now)
         return Holder(
             entry.name,
--- a/banklift/fleet/lease.py
+++ b/banklift/fleet/lease.py
@@ -9,9 +9,9 @@
 
 | the router | event | next | actions |
 | --- | --- | --- | --- |
-| serves nothing | enough grantors grant e; its check accepts it | serves e | `EpochAdopted(e)`, `LeaseExtended` |
-| serves e | the leases are renewed | serves e, longer | `LeaseExtended` |
-| serves e | e ends, and e + 1 has begun at enough grantors | serves e + 1 | `EpochAdopted(e + 1)`, `LeaseExtended` |
+| serves nothing | enough grantors grant e; its check accepts it | serves e | `EpochAdopted(e)`, `LeaseEndChanged` |
+| serves e | the leases are renewed | serves e, longer | `LeaseEndChanged` |
+| serves e | e ends, and e + 1 has begun at enough grantors | serves e + 1 | `EpochAdopted(e + 1)`, `LeaseEndChanged` |
 | serves e | e ends, and e + 1 is about to begin | serves nothing until then | none: the end was announced before |
 | serves e | e ends, and no other epoch begins | fenced: serves nothing | a log line; the end was announced before |
 | any | a policy that its check refuses is granted | as before, but never serves it | a log line; its verdict is sent |
@@ -33,12 +33,12 @@
 from banklift.fleet.actions import LogLine
 from banklift.fleet.holder import (
     NO_GRANT,
-    RETRY_PART,
+    RETRY_FRACTION,
     Action,
     EpochAdopted,
     Grantor,
     HeldGrant,
-    LeaseExtended,
+    LeaseEndChanged,
     LeaseHolder,
     SendToGrantor,
 )
@@ -72,21 +72,21 @@
         self.active_aggregator = grantors[0]  # the one that it leases from; of no meaning without aggregators
         self.policies = PolicyCache(check)
         self.epoch_digests: dict[int, str] = {}  # digest of the policy of each epoch that was granted
-        self.serving = 0  # the epoch that it serves or served last; 0: none
-        self.until = -math.inf  # the end of its lease that was announced last
+        self.serving_epoch = 0  # the epoch that it serves or served last; 0: none
+        self.serve_until = -math.inf  # the end of its lease that was announced last
         self.fenced = False  # whether the log tells already that it serves nothing
         self.has_left = False
 
     # ---- events
 
-    def up(self, now: float, name: str) -> list[Action]:
+    def link_up(self, now: float, name: str) -> list[Action]:
         """The link to the grantor `name` is up."""
-        actions = super().up(now, name)
+        actions = super().link_up(now, name)
         if not self.grantors[self.active_aggregator].linked:
             self._choose_active(now)
         return actions + self._take_actions(now)
 
-    def down(self, now: float, name: str) -> list[Action]:
+    def link_down(self, now: float, name: str) -> list[Action]:
         """The link to the grantor `name` is down: lease from another aggregator, if there is one."""
         self._mark_unlinked(name)
         self._choose_active(now)
@@ -114,15 +114,15 @@
             grant = grantor.newest_grant
             if grant.next_epoch and now < grant.next_begins_at < due:
                 due = grant.next_begins_at
-        return min(due, self.until) if self.until > now else due
+        return min(due, self.serve_until) if self.serve_until > now else due
 
     def leave(self, now: float) -> list[Action]:
         """Serve nothing from now on, and release all leases."""
         self.has_left = True
-        self.until = -math.inf
-        self.actions.append(LeaseExtended(-math.inf, RETRY_PART * self.lease))
+        self.serve_until = -math.inf
+        self.actions.append(LeaseEndChanged(-math.inf, RETRY_FRACTION * self.lease))
         for name, grantor in self.grantors.items():
-            grantor.due = math.inf
+            grantor.next_request_at = math.inf
             if grantor.linked:
                 self._release(name)
         done, self.actions = self.actions, []
@@ -141,7 +141,7 @@
         answered_change = grantor.change_id if verdict is not None else ""
         held_policies = tuple(self.policies.texts)
         return LeaseRequest(
-            number, grantor.oldest_held, self.serving, answered_change, verdict, held_policies
+            number, grantor.oldest_held, self.serving_epoch, answered_change, verdict, held_policies
         )
 
     def _answer_recorded(self, now: float, name: str, previous: HeldGrant, grant: LeaseGrant) -> None:
@@ -197,7 +197,7 @@
 
     def _digests_in_use(self) -> set[str]:
         """Digests of the policies that are served, granted or being checked."""
-        found = {self.epoch_digests.get(self.serving, "")}
+        found = {self.epoch_digests.get(self.serving_epoch, "")}
         for grantor in self.grantors.values():
             grant = grantor.newest_grant
             found |= {
@@ -220,7 +220,7 @@
         )
         if best != self.active_aggregator:
             self.active_aggregator = best
-            if not self.grantors[best].pending:
+            if not self.grantors[best].pending_requests:
                 self._send_request(now, best)
 
     def _update_active(self, now: float, name: str, has_granted: bool) -> None:
@@ -250,9 +250,9 @@
         """Release all leases of this grantor, also those that an answer on its way may bring."""
         grantor = self.grantors[name]
         grantor.newest_grant = NO_GRANT
-        grantor.due = math.inf
-        grantor.pending.clear()
-        self.actions.append(SendToGrantor(name, LeaseRelease(self.numbers)))
+        grantor.next_request_at = math.inf
+        grantor.pending_requests.clear()
+        self.actions.append(SendToGrantor(name, LeaseRelease(self.last_number)))
 
     # ---- what may be served
 
@@ -294,22 +294,22 @@
     def _is_refused(self, epoch: int) -> bool:
         """Whether this router's own check refuses the policy of the epoch. Logged once."""
         reasons = self.policies.verdict(self.epoch_digests[epoch])
-        if reasons and not (self.fenced and self.serving == 0):
+        if reasons and not (self.fenced and self.serving_epoch == 0):
             fields: dict[str, object] = {"epoch": epoch, "reasons": list(reasons)}
             self.actions.append(LogLine("policy in force is refused", fields))
-            self.serving = 0
+            self.serving_epoch = 0
             self.fenced = True
         return bool(reasons)
 
     def _serve(self, epoch: int, end: float, text: bytes, decided: list[Action]) -> None:
         """Serve the epoch until `end`, and announce what of this is new."""
-        if epoch != self.serving:
-            self.serving = epoch
+        if epoch != self.serving_epoch:
+            self.serving_epoch = epoch
             decided.append(EpochAdopted(epoch, text))
-        if end != self.until or self.fenced:
-            self.until = end
+        if end != self.serve_until or self.fenced:
+            self.serve_until = end
             self.fenced = False
-            decided.append(LeaseExtended(end, RETRY_PART * self.lease))
+            decided.append(LeaseEndChanged(end, RETRY_FRACTION * self.lease))
 
     def _stop_serving(self, now: float, has_lease: bool, decided: list[Action]) -> None:
         """Serve nothing, and log it once. `has_lease`: there are enough leases, but the policy can't be served.
@@ -317,14 +317,14 @@
         The end that was announced last may still be ahead, and is then moved to `now`: a longer lease was given up
         for a shorter one that had ended before it came.
         """
-        if self.until > now:
-            self.until = now
-            decided.append(LeaseExtended(now, RETRY_PART * self.lease))
-        has_lost_leases = self.serving and not self.fenced and not self.has_left and not has_lease
+        if self.serve_until > now:
+            self.serve_until = now
+            decided.append(LeaseEndChanged(now, RETRY_FRACTION * self.lease))
+        has_lost_leases = self.serving_epoch and not self.fenced and not self.has_left and not has_lease
         if has_lost_leases and not self._next_epoch_is_imminent(now):
             self.fenced = True
             reasons = {name: self._reason_without_lease(now, name) for name in self.grantors}
-            fields: dict[str, object] = {"epoch": self.serving, "grantors": reasons}
+            fields: dict[str, object] = {"epoch": self.serving_epoch, "grantors": reasons}
             self.actions.append(LogLine("fenced: not enough leases", fields))
 
     def _next_epoch_is_imminent(self, now: float) -> bool:
@@ -340,7 +340,7 @@
     def _reason_without_lease(self, now: float, name: str) -> str:
         """Why this grantor gives no lease on the epoch served, for the log; empty if it gives one."""
         grantor = self.grantors[name]
-        if grantor.newest_grant.covers(self.serving, now):
+        if grantor.newest_grant.covers(self.serving_epoch, now):
             return ""
         if not grantor.linked:
             return "no link"
--- a/banklift/fleet/lease_table.py
+++ b/banklift/fleet/lease_table.py
@@ -21,8 +21,8 @@
 | switching | `switch_at` has come | granting e + 1 | e until `switch_at`, and e + 1 from then on |
 | granting e + 1 | the change to e + 1 was settled | granting e + 1 | a lease on e + 1 of full length |
 
-Short leases. Their length is `closing_lease`, which is longer where holders took long to answer the check. While the
-voter waits for the end of a longer lease that its holder does not give up, each other holder gets up to half of the
+Short leases. Their length is `closing_lease_time`, which is longer where holders took long to answer the check. While
+the voter waits for the end of a longer lease that its holder does not give up, each other holder gets up to half of the
 time that is left of it. This delays nothing, and saves the voter and its holders thousands of renewals. That longer
 lease may still be given up late, so the others get no more than the time that was waited already: the change then
 takes at most about twice as long.
@@ -33,8 +33,8 @@
 (`restarted`).
 
 Sealing. A change is agreed only when every holder of a lease has accepted it. A voter that has reported this
-(`sealed`) gives no lease to other holders until the change is decided. So every holder of leases from a majority at
-that time is among those that were asked.
+(`sealed_change`) gives no lease to other holders until the change is decided. So every holder of leases from a majority
+at that time is among those that were asked.
 
 Cost. Ends of leases and verdicts on a change are indexed (end_index.py), so a request costs O(log n) in the number
 of holders in every stage; only the start of a change looks at all of them.
@@ -45,7 +45,7 @@
 import math
 from dataclasses import dataclass
 
-from banklift.fleet.holder_table import MAX_HOLDERS, Entry, HolderTable, OutstandingGrant
+from banklift.fleet.holder_table import MAX_HOLDERS, HolderEntry, HolderTable, OutstandingGrant
 from banklift.fleet.messages import Holder, LeaseGrant, LeaseRequest
 from banklift.fleet.state import Change, Stage, State, digest
 
@@ -62,7 +62,7 @@
 EXTENDED_LEASE_FRACTION = 0.5
 
 
-def closing_lease(lease: float, answer_time: float = 0.0) -> float:
+def closing_lease_time(lease: float, answer_time: float = 0.0) -> float:
     """Seconds that a short lease lasts, that is, one granted while a change takes hold.
 
     `lease`: seconds that a lease lasts while no change is under way. `answer_time`: seconds in which half of the
@@ -73,12 +73,12 @@
 
 
 def longest_closing_lease(lease: float) -> float:
-    """The most seconds that `closing_lease` returns for leases of `lease` seconds, whatever the answer time."""
+    """The most seconds that `closing_lease_time` returns for leases of `lease` seconds, whatever the answer time."""
     return max(CLOSING_LEASE_FRACTION, MAX_CLOSING_LEASE_FRACTION) * lease
 
 
 @dataclass(frozen=True, slots=True)
-class Answers:
+class SurveyResult:
     """How far this voter's holders are with the change under way; they are sent in a `Surveyed`."""
 
     refusals: tuple[Holder, ...]
@@ -99,15 +99,17 @@
         super().__init__()
         self.lease = lease
         self.drift = drift
-        self.closing_length = closing_lease(lease)  # seconds of a short lease during the change under way
+        # seconds of a short lease during the change under way
+        self.closing_length = closing_lease_time(lease)
         self.state: State | None = None  # the newest state that this voter knows
         self.digests = ("", "")  # of the policy in force, and of that of the change under way; empty: none
-        self.granting = 0  # the epoch that is granted
+        self.granting_epoch = 0  # the epoch that is granted
         self.switch_at = math.inf  # when the next epoch is granted; infinity while that is not fixed
         self.closing = False  # in the stage closing or switching
         self.closing_since = -math.inf
         self.all_known_at = -math.inf  # from then on every outstanding lease is in the table
-        self.sealed = ""  # id of the change that this voter has reported as accepted by all; empty: none
+        # id of the change that this voter has reported as accepted by all; empty: none
+        self.sealed_change = ""
 
     # ---- state of the register
 
@@ -124,7 +126,7 @@
         self.apply_state(now, state)
         if state.change is not None:
             # Before its restart this voter may have reported the change as sealed.
-            self.sealed = state.change.id
+            self.sealed_change = state.change.id
             if state.change.stage is Stage.AGREED:
                 self._begin_closing(now, state.epoch, self.all_known_at)
 
@@ -136,28 +138,28 @@
         self.state = state
         change = state.change
         self.digests = digest(state.policy), digest(change.policy) if change is not None else ""
-        if change is None or change.id != self.sealed:
-            self.sealed = ""
+        if change is None or change.id != self.sealed_change:
+            self.sealed_change = ""
         if change is None or previous_change is None or previous_change.id != change.id:
             self.begin_change(now, change.id if change is not None else "")
         self.checking = change is not None and change.stage is Stage.CHECKING
         if change is not None and change.stage is Stage.AGREED:
-            if self.granting < state.epoch or (self.granting == state.epoch and not self.closing):
+            if self.granting_epoch < state.epoch or (self.granting_epoch == state.epoch and not self.closing):
                 self._begin_closing(now, state.epoch, math.inf)
-        elif self.granting < state.epoch:
+        elif self.granting_epoch < state.epoch:
             # The change was settled: a majority grants the new epoch alone, so no lease on an older one is of use.
-            self.granting = state.epoch
+            self.granting_epoch = state.epoch
             self.closing = False
             self.switch_at = math.inf
         return True
 
     def _begin_closing(self, now: float, epoch: int, switch_at: float) -> None:
         """Grant short leases on the epoch until the switch to the next one."""
-        self.granting = epoch
+        self.granting_epoch = epoch
         self.closing = True
         self.switch_at = switch_at
         self.closing_since = now
-        self.closing_length = closing_lease(self.lease, self.median_answer_time)
+        self.closing_length = closing_lease_time(self.lease, self.median_answer_time)
 
     @property
     def change(self) -> Change | None:
@@ -171,7 +173,7 @@
         if not self.closing:
             return
         if self.switch_at <= now:
-            self.granting += 1
+            self.granting_epoch += 1
             self.closing = False
             self.switch_at = math.inf
         elif self.switch_at == math.inf:
@@ -209,7 +211,7 @@
         self.update_indexes(entry)
         return grant
 
-    def _reason_to_refuse(self, now: float, entry: Entry, request: LeaseRequest) -> str | None:
+    def _reason_to_refuse(self, now: float, entry: HolderEntry, request: LeaseRequest) -> str | None:
         """Why the holder gets no new lease, for operators; None if it gets one.
 
         The reason is empty if the holder first has to answer the check of a change. What it holds stays valid.
@@ -217,12 +219,14 @@
         change = self.change
         if self.state is None:
             return "this voter knows no policy yet"
-        if request.epoch > self.granting + 1 or (request.epoch > self.granting and change is None):
-            return f"it serves epoch {request.epoch}, and this voter knows of {self.granting} only"
-        if self.sealed and not self.has_accepted(entry, self.sealed):
+        if request.epoch > self.granting_epoch + 1 or (
+            request.epoch > self.granting_epoch and change is None
+        ):
+            return f"it serves epoch {request.epoch}, and this voter knows of {self.granting_epoch} only"
+        if self.sealed_change and not self.has_accepted(entry, self.sealed_change):
             return "a change is being decided that it has not accepted"
         checking = change is not None and change.stage is Stage.CHECKING and not change.dry
-        if checking and change is not None and entry.change != change.id:
+        if checking and change is not None and entry.change_id != change.id:
             return ""
         if self.closing and self.all_known_at > now and self.switch_at == self.all_known_at:
             return "this voter has started while a change took hold, and waits for old leases to end"
@@ -230,7 +234,7 @@
 
     # ---- answers
 
-    def _grant(self, now: float, entry: Entry, request: LeaseRequest) -> LeaseGrant:
+    def _grant(self, now: float, entry: HolderEntry, request: LeaseRequest) -> LeaseGrant:
         """Grant a lease, and record it as outstanding."""
         ttl, begin, next_ttl, next_epoch = self.lease, 0.0, 0.0, 0
         if self.closing:
@@ -238,16 +242,18 @@
             if self.switch_at < math.inf:
                 left = max(0.0, self.switch_at - now)
                 ttl = min(ttl, left / (1 + self.drift))
-                next_epoch = self.granting + 1
+                next_epoch = self.granting_epoch + 1
                 begin = left
                 next_ttl = left + self.lease
         end = now + ttl * (1 + self.drift) if ttl > 0 else -math.inf
         next_end = now + next_ttl * (1 + self.drift) if next_epoch else -math.inf
         if ttl > 0 or next_epoch:
-            entry.outstanding[request.number] = OutstandingGrant(self.granting, end, next_epoch, next_end)
+            entry.outstanding[request.number] = OutstandingGrant(
+                self.granting_epoch, end, next_epoch, next_end
+            )
         return self._build_grant(request, ttl, next_epoch, begin, next_ttl, "")
 
-    def _closing_ttl(self, now: float, entry: Entry) -> float:
+    def _closing_ttl(self, now: float, entry: HolderEntry) -> float:
         """Seconds of a lease that is granted while a change takes hold.
 
         It is short, or longer while the change has to wait for another holder's longer lease to end: otherwise all
@@ -255,8 +261,8 @@
         the lease waited for may be its own older one. No lease is longer than the change has waited already, as the
         lease waited for may still be given up.
         """
-        is_first = entry.closing_epoch != self.granting
-        entry.closing_epoch = self.granting
+        is_first = entry.closing_epoch != self.granting_epoch
+        entry.closing_epoch = self.granting_epoch
         if is_first:
             return self.closing_length
         time_to_wait = (self.lease_ends.latest() - now) / (1 + self.drift)
@@ -274,12 +280,12 @@
         state, change = self.state, self.change
         policy_digest, change_digest = self.digests
         current_digest = (
-            change_digest if change is not None and self.granting >= change.epoch else policy_digest
+            change_digest if change is not None and self.granting_epoch >= change.epoch else policy_digest
         )
         next_digest = change_digest if next_epoch else ""
         return LeaseGrant(
             number=request.number,
-            epoch=self.granting,
+            epoch=self.granting_epoch,
             ttl=ttl,
             next_epoch=next_epoch,
             next_begins_in=begin,
@@ -310,27 +316,29 @@
 
     # ---- progress of the change
 
-    def survey(self, now: float) -> Answers:
+    def survey(self, now: float) -> SurveyResult:
         """How far the holders are with the change under way. Seals the change once all of them accept."""
         self.tick(now)
         change = self.change
         accepted = self._all_accept(now)
         if change is not None and change.stage is Stage.CHECKING and accepted:
-            self.sealed = change.id
-        sealed = change is not None and self.sealed == change.id and accepted
-        switched = change is not None and change.stage is Stage.AGREED and self.granting >= change.epoch
+            self.sealed_change = change.id
+        sealed = change is not None and self.sealed_change == change.id and accepted
+        switched = change is not None and change.stage is Stage.AGREED and self.granting_epoch >= change.epoch
         slowest = self._slowest(now)
         waiting = (
             len(self.unanswered) if change is not None and change.stage is Stage.CHECKING else len(slowest)
         )
-        return Answers(self.refusals(now), waiting, slowest, sealed, switched)
+        return SurveyResult(self.refusals(now), waiting, slowest, sealed, switched)
 
     def stage_done(self, now: float) -> bool:
         """Whether this voter's part of the stage is done: all accept the change, or only the new epoch is granted."""
         change = self.change
         if change is None:
             return False
-        return self._all_accept(now) if change.stage is Stage.CHECKING else self.granting >= change.epoch
+        return (
+            self._all_accept(now) if change.stage is Stage.CHECKING else self.granting_epoch >= change.epoch
+        )
 
     def _all_accept(self, now: float) -> bool:
         """Whether every holder of a lease accepts the change, also those whose leases a restart has forgotten."""
--- a/banklift/fleet/member.py
+++ b/banklift/fleet/member.py
@@ -12,13 +12,13 @@
 
 from banklift.fleet import links
 from banklift.fleet.durable import Save
-from banklift.fleet.holder import EpochAdopted, LeaseExtended
+from banklift.fleet.holder import EpochAdopted, LeaseEndChanged
 from banklift.fleet.links import Link, Links
 from banklift.fleet.messages import Message, Role
 from banklift.fleet.plan import Plan
 from banklift.fleet.voter import Voter
 
-Action = links.Action | Save | EpochAdopted | LeaseExtended
+Action = links.Action | Save | EpochAdopted | LeaseEndChanged
 
 
 class Member:
--- a/banklift/fleet/node.py
+++ b/banklift/fleet/node.py
@@ -5,7 +5,7 @@
 voter exchanges the same messages with itself directly, without a link. How links are made and who may be at their other
 end is documented in links.py.
 
-`EpochAdopted` and `LeaseExtended` (lease.py) tell the router's proxy until when it may take requests, and under which
+`EpochAdopted` and `LeaseEndChanged` (lease.py) tell the router's proxy until when it may take requests, and under which
 policy; no other event of the fleet reaches the proxy.
 """
 
@@ -15,7 +15,7 @@
 from banklift.fleet.actions import LogLine
 from banklift.fleet.durable import Save
 from banklift.fleet.holder import Action as HolderAction
-from banklift.fleet.holder import EpochAdopted, LeaseExtended, SendToGrantor, Stalled
+from banklift.fleet.holder import EpochAdopted, LeaseEndChanged, LinkStalled, SendToGrantor
 from banklift.fleet.lease import LeaseClient
 from banklift.fleet.links import Link
 from banklift.fleet.member import Action, Member
@@ -99,7 +99,7 @@
         """Start the voter, and lease from it."""
         if self.voter is not None:
             self._run_voter_actions(self.voter.start(self.now))
-            self._run_lease_actions(self.leases.up(self.now, self.plan.name))
+            self._run_lease_actions(self.leases.link_up(self.now, self.plan.name))
 
     def _wake_parts(self) -> None:
         """Run the timers of the leases and of the voter."""
@@ -112,7 +112,7 @@
 
     def ends_on_name_conflict(self) -> bool:
         """A router that serves an epoch keeps running through a name conflict."""
-        return not self.leases.serving
+        return not self.leases.serving_epoch
 
     def link_changed(self, link: Link, up: bool) -> None:
         """Tell the leases and the voter of a link that is up, or gone."""
@@ -121,7 +121,7 @@
                 self._run_voter_actions(self.voter.operator(self.now, link.id, up))
             return
         if self._is_grantor(link):
-            notify = self.leases.up if up else self.leases.down
+            notify = self.leases.link_up if up else self.leases.link_down
             self._run_lease_actions(notify(self.now, link.name))
         if self.voter is not None and link.role is Role.ROUTER and link.name in self.plan.voters:
             self._run_voter_actions(self.voter.link(self.now, link.name, up))
@@ -175,11 +175,11 @@
             match action:
                 case SendToGrantor(grantor, message):
                     self._send_to_grantor(grantor, message)
-                case Stalled(grantor):
+                case LinkStalled(grantor):
                     link = self.links.to(self.grantor_role, grantor)
                     if link is not None:
                         self.links.end(link, "no answer: the link has stalled")
-                case LogLine() | EpochAdopted() | LeaseExtended():
+                case LogLine() | EpochAdopted() | LeaseEndChanged():
                     self.actions.append(action)
 
     def _send_to_grantor(self, grantor: str, message: LeaseRequest | LeaseRelease) -> None:
--- a/banklift/fleet/placement.py
+++ b/banklift/fleet/placement.py
@@ -28,7 +28,7 @@
     return hashlib.blake2b(f"{router}\0{candidate}".encode(), digest_size=HASH_BYTES).digest()
 
 
-def choose(router: str, candidates: Iterable[Candidate]) -> tuple[str, ...]:
+def choose_aggregators(router: str, candidates: Iterable[Candidate]) -> tuple[str, ...]:
     """The names of the router's preferred aggregator and of its standby, in this order.
 
     There is no standby if all candidates run on one machine; without candidates the result is empty.
--- a/banklift/fleet/sub_lease_table.py
+++ b/banklift/fleet/sub_lease_table.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass
 
 from banklift.fleet.end_index import EndIndex
-from banklift.fleet.holder_table import MAX_HOLDERS, Entry, HolderKey, HolderTable, OutstandingGrant
+from banklift.fleet.holder_table import MAX_HOLDERS, HolderEntry, HolderKey, HolderTable, OutstandingGrant
 from banklift.fleet.messages import LeaseGrant, LeaseRequest, Summary
 from banklift.fleet.parent_lease import ChangeView, Window
 from banklift.fleet.state import Stage
@@ -68,23 +68,23 @@
         self.ends_by_epoch: dict[int, EndIndex[HolderKey]] = {}
         # Id of the change that all holders of a sub-lease have accepted; empty if there is none. Nobody else gets a
         # sub-lease until the change is decided.
-        self.sealed = ""
+        self.sealed_change = ""
 
     # ---- for the aggregator
 
     def apply_view(self, now: float, view: ChangeView) -> None:
         """Take over the change under way in a newer state of the voters."""
-        if view.change != self.sealed:
-            self.sealed = ""
+        if view.change != self.sealed_change:
+            self.sealed_change = ""
         if view.change != self.change_id:
             self.begin_change(now, view.change)
         self.checking = view.stage == Stage.CHECKING
 
     def seal(self, now: float) -> bool:
         """Seal the change under way if all holders of a sub-lease have accepted it. Returns whether it is sealed."""
-        if self.change_id and not self.sealed and self.accepted_by_all(now):
-            self.sealed = self.change_id
-        return bool(self.sealed)
+        if self.change_id and not self.sealed_change and self.accepted_by_all(now):
+            self.sealed_change = self.change_id
+        return bool(self.sealed_change)
 
     def latest_end(self, epoch: int) -> float:
         """When the last sub-lease on the epoch has ended; minus infinity if there is none."""
@@ -127,7 +127,7 @@
         self.update_indexes(entry)
         return answer
 
-    def update_indexes(self, entry: Entry) -> None:
+    def update_indexes(self, entry: HolderEntry) -> None:
         """Update the indexes after an entry has changed, also those of each epoch."""
         super().update_indexes(entry)
         for epoch, index in self.ends_by_epoch.items():
@@ -137,20 +137,20 @@
             else:
                 index.discard(entry.key)
 
-    def _reason_to_refuse(self, entry: Entry, request: LeaseRequest, terms: Terms) -> str | None:
+    def _reason_to_refuse(self, entry: HolderEntry, request: LeaseRequest, terms: Terms) -> str | None:
         """Why the router gets no new sub-lease; None if it may get one. Empty: it has to answer a check first."""
         known = [window.epoch for window in (terms.current, terms.coming) if window is not None]
         if not known:
             return "this aggregator has no lease of a majority of voters"
         if request.epoch > max(known):
             return f"it serves epoch {request.epoch}, and this aggregator has a lease for {max(known)} only"
-        if self.sealed and not self.has_accepted(entry, self.sealed):
+        if self.sealed_change and not self.has_accepted(entry, self.sealed_change):
             return "a change is being decided that it has not accepted"
-        if self.change_id and not terms.view.dry and entry.change != self.change_id:
+        if self.change_id and not terms.view.dry and entry.change_id != self.change_id:
             return ""
         return None
 
-    def _grant(self, now: float, entry: Entry, number: int, terms: Terms) -> SubLease | str:
+    def _grant(self, now: float, entry: HolderEntry, number: int, terms: Terms) -> SubLease | str:
         """Grant a sub-lease and record it as outstanding; or the reason why none is left to grant."""
         sub_lease = self._longest_sub_lease(now, terms)
         if not sub_lease.epoch and not sub_lease.next_epoch:
--- a/banklift/fleet/voter.py
+++ b/banklift/fleet/voter.py
@@ -263,9 +263,9 @@
             self._continue_rejoining(self.rejoining)
         self.disk.wake(now)
         self.proposer.wake(now)
-        granting, switch_at = self.lease_table.granting, self.lease_table.switch_at
+        granting, switch_at = self.lease_table.granting_epoch, self.lease_table.switch_at
         self.lease_table.tick(now)
-        if self.lease_table.granting != granting or self.lease_table.switch_at != switch_at:
+        if self.lease_table.granting_epoch != granting or self.lease_table.switch_at != switch_at:
             self.actions.append(AnnounceRenewal())
         self._notify_driver()
         change = self.lease_table.change
--- a/banklift/net/fleet.py
+++ b/banklift/net/fleet.py
@@ -6,7 +6,7 @@
 
 from banklift.fleet.actions import LogLine
 from banklift.fleet.durable import Save
-from banklift.fleet.holder import EpochAdopted, LeaseExtended
+from banklift.fleet.holder import EpochAdopted, LeaseEndChanged
 from banklift.fleet.links import CloseLink, Dial, NameConflict, Write
 from banklift.fleet.member import Action, Member
 from banklift.net.env import Alarm, Env, Handle, Peer
@@ -83,7 +83,7 @@
                 case EpochAdopted(epoch, policy):
                     self.log("policy in force", {"epoch": epoch})
                     self.adopt_policy(epoch, policy)
-                case LeaseExtended(time, retry_after):
+                case LeaseEndChanged(time, retry_after):
                     self.extend_lease(time, retry_after)
                 case NameConflict(reason):
                     self.on_refused(reason)
--- a/banklift/net/fleet_daemon.py
+++ b/banklift/net/fleet_daemon.py
@@ -11,9 +11,9 @@
 
 from banklift.config import build, policy
 from banklift.config.fleet import machine_of
-from banklift.fleet.holder import RETRY_PART
+from banklift.fleet.holder import RETRY_FRACTION
 from banklift.fleet.node import Node
-from banklift.fleet.placement import Candidate, choose
+from banklift.fleet.placement import Candidate, choose_aggregators
 from banklift.fleet.plan import Plan
 from banklift.net.fleet import FleetHost
 from banklift.net.process import MembershipRefused, Running, new_incarnation, new_seed
@@ -37,7 +37,7 @@
         tuple(fleet.voters),
         fleet.lease,
         fleet.drift,
-        () if name in fleet.voters else choose(name, candidates(fleet)),
+        () if name in fleet.voters else choose_aggregators(name, candidates(fleet)),
         fleet.granted_sub_lease,
     )
 
@@ -113,7 +113,7 @@
         assert state is not None
         state.save(run.tasks, content, done)
 
-    policies.extend(-math.inf, RETRY_PART * fleet.lease)
+    policies.extend(-math.inf, RETRY_FRACTION * fleet.lease)
     host = FleetHost(
         env,
         node,
--- a/banklift/rig/capacity_page.py
+++ b/banklift/rig/capacity_page.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Sequence
 
 from banklift.discovery.client import CALL_TIMEOUT, LONG_POLL
-from banklift.fleet.lease_table import closing_lease
+from banklift.fleet.lease_table import closing_lease_time
 from banklift.rig import capacity_plan as plan
 from banklift.rig.capacity_needs import (
     LIST_CHANGES_A_SECOND,
@@ -446,7 +446,7 @@
     one_by_one = [series for series in results.changes if series.aggregators and not series.rate]
     if one_by_one:
         lease, sub_lease = one_by_one[0].lease, one_by_one[0].sub_lease
-    closing = closing_lease(lease)
+    closing = closing_lease_time(lease)
     # what failed, seconds that a change waits for leases of it, and the `Victim` of such trials
     failures = [
         ("nothing", 0.0, NOTHING_KILLED),
--- a/banklift/rig/hollow_fleet.py
+++ b/banklift/rig/hollow_fleet.py
@@ -22,7 +22,7 @@
 from anyio.abc import Process, TaskGroup
 
 from banklift.fleet.messages import Ended, NotProposed, Set, Show, Shown
-from banklift.fleet.placement import Candidate, choose
+from banklift.fleet.placement import Candidate, choose_aggregators
 from banklift.fleet.state import Result
 from banklift.net.operator import Unreachable, ask_voters
 from banklift.rig.hollow_messages import (
@@ -137,7 +137,7 @@
             for place, aggregator in enumerate(self.aggregators)
             if self.zone(place) == zone
         ]
-        return choose(name, candidates)
+        return choose_aggregators(name, candidates)
 
     def _add_hosts(self) -> None:
         """One process for each voter and aggregator; the routers are spread evenly over as many as they need."""
--- a/banklift/rig/processes.py
+++ b/banklift/rig/processes.py
@@ -25,7 +25,7 @@
 from banklift.emulator.node import Act
 from banklift.emulator.stand import Stand
 from banklift.fleet.messages import Message, Show, Shown
-from banklift.fleet.placement import Candidate, choose
+from banklift.fleet.placement import Candidate, choose_aggregators
 from banklift.fleet.state import Stage
 from banklift.net.env import Env
 from banklift.rig import site
@@ -148,7 +148,7 @@
 
     def preferred(self, router: str) -> str:
         """The aggregator that this router leases from while it can."""
-        return choose(router, [Candidate(name, name) for name in self.aggregators])[0]
+        return choose_aggregators(router, [Candidate(name, name) for name in self.aggregators])[0]
 
     def state(self, name: str) -> Path:
         """The folder of a voter's state."""
--- a/banklift/rig/world.py
+++ b/banklift/rig/world.py
@@ -19,7 +19,7 @@
 from banklift.fleet.aggregator_node import AggregatorNode
 from banklift.fleet.messages import Ended, Message, Set, Show, Shown
 from banklift.fleet.node import Node
-from banklift.fleet.placement import Candidate, choose
+from banklift.fleet.placement import Candidate, choose_aggregators
 from banklift.fleet.plan import Plan
 from banklift.fleet.register import Record
 from banklift.fleet.state import Outcome
@@ -147,7 +147,7 @@
         for one in zone_aggregators:
             self._relay(name, one.key)
         candidates = [Candidate(one.name, f"machine-{one.key}") for one in zone_aggregators]
-        self.routers[name].aggregators = choose(name, candidates)
+        self.routers[name].aggregators = choose_aggregators(name, candidates)
 
     def add_router(self, key: str, name: str) -> Router:
         """One that leases from the voters, and is not started yet; another may have its name."""
--- a/tests/test_aggregator.py
+++ b/tests/test_aggregator.py
@@ -12,7 +12,7 @@
 
 from banklift.fleet.aggregator import Action, Aggregator, AnnounceRenewal
 from banklift.fleet.holder import SendToGrantor
-from banklift.fleet.lease_table import LeaseTable, closing_lease
+from banklift.fleet.lease_table import LeaseTable, closing_lease_time
 from banklift.fleet.messages import LeaseGrant, LeaseRelease, LeaseRequest, RenewNow
 from banklift.fleet.state import State, agree, initial_state, propose, settle
 
@@ -152,7 +152,7 @@
     assert (newcomer.ttl, newcomer.reason) == (0.0, "a change is being decided that it has not accepted")
     tier.choose(0.8, settle(agree(tier.state, change), change))
     tier.renew(0.8)
-    assert tier.aggregator.table.sealed == ""
+    assert tier.aggregator.table.sealed_change == ""
 
 
 def test_a_change_waits_for_a_silent_router_until_its_sub_lease_has_ended() -> None:
@@ -244,12 +244,13 @@
     assert all(table.switch_at > NOT_FIXED for table in tier.tables.values())
     longer_sub_lease = tier.numbers["r0"]
     short = tier.request(0.6, change=change, held=longer_sub_lease)  # held until this answer arrives
-    assert 0 < short.ttl < closing_lease(LEASE)
+    assert 0 < short.ttl < closing_lease_time(LEASE)
     assert tier.aggregator.waits_for_renewals
     tier.request(0.61, change=change, held=longer_sub_lease + 1)
     assert not tier.aggregator.waits_for_renewals
     assert all(
-        table.switch_at < 0.61 + closing_lease(LEASE) * (1 + DRIFT) + 1e-9 for table in tier.tables.values()
+        table.switch_at < 0.61 + closing_lease_time(LEASE) * (1 + DRIFT) + 1e-9
+        for table in tier.tables.values()
     )
     tier.renew(0.62)
     grant = tier.request(0.62, change=change)
--- a/tests/test_aggregator_planted.py
+++ b/tests/test_aggregator_planted.py
@@ -15,7 +15,7 @@
 from banklift.fleet import holder, parent_lease
 from banklift.fleet.aggregator import Aggregator
 from banklift.fleet.holder import LeaseHolder
-from banklift.fleet.holder_table import Entry, HolderTable
+from banklift.fleet.holder_table import HolderEntry, HolderTable
 from banklift.fleet.lease import LeaseClient
 from banklift.fleet.messages import LeaseGrant, LeaseRequest
 from banklift.fleet.parent_lease import ParentLease, Window
@@ -302,14 +302,14 @@
     """The verdict of a holder's older incarnation counts for the new one."""
     real_record_request = HolderTable.record_request
 
-    def record_request(self: HolderTable, now: float, entry: Entry, request: LeaseRequest) -> None:
+    def record_request(self: HolderTable, now: float, entry: HolderEntry, request: LeaseRequest) -> None:
         for older in self.entries.values():
             if (
                 older.name == entry.name
-                and older.change == self.change_id != ""
-                and entry.change != older.change
+                and older.change_id == self.change_id != ""
+                and entry.change_id != older.change_id
             ):
-                entry.change, entry.verdict = older.change, older.verdict
+                entry.change_id, entry.verdict = older.change_id, older.verdict
         real_record_request(self, now, entry, request)
 
     patch.setattr(HolderTable, "record_request", record_request)
@@ -321,7 +321,7 @@
 
     def seal(self: SubLeaseTable, now: float) -> bool:
         sealed = real_seal(self, now)
-        self.sealed = ""
+        self.sealed_change = ""
         return sealed
 
     patch.setattr(SubLeaseTable, "seal", seal)
@@ -393,7 +393,7 @@
     """A grantor forgets the leases of a holder's older incarnations."""
     real_record_request = HolderTable.record_request
 
-    def record_request(self: HolderTable, now: float, entry: Entry, request: LeaseRequest) -> None:
+    def record_request(self: HolderTable, now: float, entry: HolderEntry, request: LeaseRequest) -> None:
         for key, older in list(self.entries.items()):
             if older.name == entry.name and older is not entry:
                 del self.entries[key]
--- a/tests/test_fleet_daemon.py
+++ b/tests/test_fleet_daemon.py
@@ -20,7 +20,7 @@
 from banklift.fleet.links import Write
 from banklift.fleet.messages import PROTOCOL_VERSION, FrameDecoder, Hello, RenewNow, encode
 from banklift.fleet.node import Node
-from banklift.fleet.placement import choose
+from banklift.fleet.placement import choose_aggregators
 from banklift.fleet.plan import Plan
 from banklift.net.aggregator import aggregator_plan, listening_address
 from banklift.net.env import Listener, Peer
@@ -58,7 +58,7 @@
 
 def test_router_prefers_aggregators_of_its_zone() -> None:
     plan = router_plan("r7", FLEET)
-    assert plan.aggregators == choose("r7", candidates(FLEET)) and len(plan.aggregators) == 2
+    assert plan.aggregators == choose_aggregators("r7", candidates(FLEET)) and len(plan.aggregators) == 2
     assert set(plan.aggregators) <= {"a0", "a1", "a2"}
     assert peer_addresses(plan, FLEET) == {name: FLEET.aggregators[name].address for name in plan.aggregators}
     assert (plan.lease, plan.voters) == (9.0, ("v0", "v1"))
@@ -364,7 +364,7 @@
         }
         await fleet.wait_until(lambda shown: aggregators_with_lease(shown) == {"a0", "a1"})
         await fleet.start("router", "r0")
-        preferred = choose("r0", candidates_of(fleet))[0]
+        preferred = choose_aggregators("r0", candidates_of(fleet))[0]
         shown = await fleet.wait_until(lambda shown: sub_leases(shown) == {("r0", preferred)})
         assert aggregators_with_lease(shown) == {"a0", "a1"}
         assert shown["direct"] == ["v0"]  # a voter leases from the voters, not from aggregators
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -8,7 +8,7 @@
 import pytest
 
 from banklift.fleet.actions import LogLine
-from banklift.fleet.holder import EpochAdopted, LeaseExtended, SendToGrantor
+from banklift.fleet.holder import EpochAdopted, LeaseEndChanged, SendToGrantor
 from banklift.fleet.lease import LeaseClient
 from banklift.fleet.links import CloseLink, Dial, Write
 from banklift.fleet.member import Action, Member
@@ -153,9 +153,13 @@
                 driver.links["a0"], grant(number, epoch=0, ttl=0.0, digests=("", ""), reason="none")
             )
     assert driver.now < 100.0 + SUB_LEASE * (1 - DRIFT)  # its sub-lease still holds
-    before = [action.time for action in driver.other_actions if isinstance(action, LeaseExtended)][-1]
+    before = [action.serve_until for action in driver.other_actions if isinstance(action, LeaseEndChanged)][
+        -1
+    ]
     driver.receive(driver.links["a1"], grant(driver.requests("a1")[-1].number))
-    assert [action.time for action in driver.other_actions if isinstance(action, LeaseExtended)][-1] > before
+    assert [action.serve_until for action in driver.other_actions if isinstance(action, LeaseEndChanged)][
+        -1
+    ] > before
 
 
 def test_a_return_to_the_preferred_aggregator_releases_the_leases_of_the_standby() -> None:
@@ -236,7 +240,7 @@
     driver.other_actions.clear()
     driver.sent_messages.clear()
     driver.carry_out(driver.member.leave(driver.now))
-    assert [action.time for action in driver.other_actions if isinstance(action, LeaseExtended)] == [
+    assert [action.serve_until for action in driver.other_actions if isinstance(action, LeaseEndChanged)] == [
         float("-inf")
     ]
     assert (driver.links["a0"], LeaseRelease(1)) in driver.sent_messages
@@ -254,8 +258,8 @@
     actions = driver.member.data(driver.now, driver.links["a0"], encode(grant(number, ttl=0.2)))
     assert sent + 0.2 < driver.now < 100.0 + SUB_LEASE * (1 - DRIFT)  # the longer lease would still hold
     action_types = [type(action) for action in actions]
-    assert LeaseExtended(driver.now, SUB_LEASE / 20) in actions
-    assert action_types.index(LeaseExtended) < action_types.index(Write)
+    assert LeaseEndChanged(driver.now, SUB_LEASE / 20) in actions
+    assert action_types.index(LeaseEndChanged) < action_types.index(Write)
 
 
 @pytest.mark.parametrize("place", [0, 2, 3, 5, 9, 40])
@@ -267,7 +271,9 @@
     frame[place] ^= 1 << 3
     driver.carry_out(driver.member.data(driver.now, driver.links["a0"], bytes(frame) + bytes(2**16)))
     assert driver.closed_links == [driver.links["a0"]]
-    assert all(action.time < 102.0 for action in driver.other_actions if isinstance(action, LeaseExtended))
+    assert all(
+        action.serve_until < 102.0 for action in driver.other_actions if isinstance(action, LeaseEndChanged)
+    )
 
 
 def test_a_peer_of_another_role_is_refused() -> None:
@@ -323,7 +329,7 @@
 def lone_client(lease: float) -> LeaseClient:
     """Leases from one voter, whose link is up at 0."""
     client = LeaseClient(("v0",), lease, 0.0, Random(1), lambda text: ())
-    client.up(0.0, "v0")
+    client.link_up(0.0, "v0")
     return client
 
 
@@ -345,13 +351,13 @@
     patience = client.stall_time
     client.wake(patience)
     assert not client.grantors["v0"].linked
-    client.up(2.0, "v0")
+    client.link_up(2.0, "v0")
     client.wake(2.0 + 1.99 * patience)
     assert client.grantors["v0"].linked
     client.wake(2.0 + 2 * patience)
     assert not client.grantors["v0"].linked
-    client.up(6.0, "v0")
-    (number,) = client.grantors["v0"].pending
+    client.link_up(6.0, "v0")
+    (number,) = client.grantors["v0"].pending_requests
     client.granted(6.1, "v0", grant(number, ttl=LEASE))
     assert client.grantors["v0"].stalls == 0
 
@@ -369,7 +375,7 @@
 def test_a_short_lease_is_renewed_after_a_larger_part_of_its_duration(ttl: float, part: float) -> None:
     client = lone_client(LEASE)
     client.granted(0.0, "v0", grant(1, ttl=ttl))
-    assert 0.8 * part * ttl <= client.grantors["v0"].due <= part * ttl
+    assert 0.8 * part * ttl <= client.grantors["v0"].next_request_at <= part * ttl
 
 
 def test_the_gap_between_two_epochs_is_not_logged_as_a_loss_of_leases() -> None:
@@ -377,9 +383,9 @@
         client = lone_client(LEASE)
         terms = grant(1, ttl=0.5, next_epoch=2, next_begins_in=next_begin, next_epoch_ttl=next_begin + 0.1)
         client.granted(0.0, "v0", msgspec.structs.replace(terms, digests=(digest(POLICY),) * 2))
-        assert client.serving == 1
+        assert client.serving_epoch == 1
         actions = client.wake(0.55)
-        assert client.until == 0.5  # the router takes no requests now
+        assert client.serve_until == 0.5  # the router takes no requests now
         return [action.event for action in actions if isinstance(action, LogLine)]
 
     assert logged(0.6) == []  # the next epoch begins soon
@@ -397,6 +403,6 @@
         while driver.links["a0"] == link:
             driver.wake()
     assert pauses[3] > 2 * pauses[0]
-    grant_from_preferred(driver, driver.member.leases.numbers + 1)  # type: ignore[attr-defined]
+    grant_from_preferred(driver, driver.member.leases.last_number + 1)  # type: ignore[attr-defined]
     driver.carry_out(driver.member.lost(driver.now, driver.links["a0"], "closed"))
     assert driver.member.links.redial_at["a0"] - driver.now <= 0.05
--- a/tests/test_fleet_planted.py
+++ b/tests/test_fleet_planted.py
@@ -15,7 +15,7 @@
 
 from banklift.fleet import driver, holder, lease_table, register, state, voter
 from banklift.fleet import lease as leases
-from banklift.fleet.holder_table import Entry
+from banklift.fleet.holder_table import HolderEntry
 from banklift.fleet.lease import LeaseClient
 from banklift.fleet.lease_table import LeaseTable
 from banklift.fleet.messages import LeaseGrant, LeaseRequest, Set, Show, Shown
@@ -217,8 +217,8 @@
 
     def granted(self: LeaseClient, now: float, name: str, grant: LeaseGrant) -> list[holder.Action]:
         grantor = self.grantors[name]
-        if grant.number in grantor.pending:
-            grantor.pending[grant.number] = now
+        if grant.number in grantor.pending_requests:
+            grantor.pending_requests[grant.number] = now
         return real(self, now, name, grant)
 
     patch.setattr(LeaseClient, "granted", granted)
@@ -264,7 +264,7 @@
     """A voter reports that all holders have accepted when some have not."""
     real = LeaseTable.survey
 
-    def survey(self: LeaseTable, now: float) -> lease_table.Answers:
+    def survey(self: LeaseTable, now: float) -> lease_table.SurveyResult:
         return replace(real(self, now), sealed=True)
 
     patch.setattr(LeaseTable, "survey", survey)
@@ -288,7 +288,7 @@
     """A voter grants full leases on the old epoch past its switch to the new one."""
     real = LeaseTable._grant
 
-    def grant(self: LeaseTable, now: float, entry: Entry, request: LeaseRequest) -> LeaseGrant:
+    def grant(self: LeaseTable, now: float, entry: HolderEntry, request: LeaseRequest) -> LeaseGrant:
         given = real(self, now, entry, request)
         return msgspec.structs.replace(given, ttl=self.lease) if given.ttl else given
 
@@ -354,12 +354,12 @@
     def request(
         self: LeaseTable, now: float, name: str, incarnation: int, asked: LeaseRequest
     ) -> LeaseGrant | None:
-        sealed, self.sealed = self.sealed, ""
+        sealed, self.sealed_change = self.sealed_change, ""
         change = self.change
         if change is not None and (entry := self.entries.get((name, incarnation))) is not None:
-            entry.change, entry.verdict = change.id, ()
+            entry.change_id, entry.verdict = change.id, ()
         grant = real(self, now, name, incarnation, asked)
-        self.sealed = sealed
+        self.sealed_change = sealed
         return grant
 
     patch.setattr(LeaseTable, "request", request)
--- a/tests/test_lease_table.py
+++ b/tests/test_lease_table.py
@@ -8,13 +8,13 @@
 import pytest
 
 from banklift.fleet import holder_table, lease_table
-from banklift.fleet.holder_table import Entry
-from banklift.fleet.lease_table import LeaseTable, closing_lease
+from banklift.fleet.holder_table import HolderEntry
+from banklift.fleet.lease_table import LeaseTable, closing_lease_time
 from banklift.fleet.messages import LeaseGrant, LeaseRelease, LeaseRequest
 from banklift.fleet.state import State, agree, digest, initial_state, propose, settle
 
 LEASE, DRIFT = 10.0, 0.01
-SHORT = closing_lease(LEASE)  # seconds
+SHORT = closing_lease_time(LEASE)  # seconds
 NOT_FIXED = 1e9  # seconds: a `switch_at` beyond this is not fixed yet
 
 
@@ -73,13 +73,13 @@
         assert holders.table.survey(2.0).sealed
         holders.choose(2.0, agree(holders.state, change))
     entries_examined = [0]
-    real_last_end = Entry.last_end
+    real_last_end = HolderEntry.last_end
 
-    def last_end(entry: Entry) -> float:
+    def last_end(entry: HolderEntry) -> float:
         entries_examined[0] += 1
         return real_last_end(entry)
 
-    monkeypatch.setattr(Entry, "last_end", last_end)
+    monkeypatch.setattr(HolderEntry, "last_end", last_end)
     for name in holders.names[:200]:
         holders.request(2.5, name, change=change)
         holders.table.due(2.5)
@@ -177,7 +177,7 @@
     ],
 )
 def test_the_length_of_short_leases_is_bounded(lease: float, answer_time: float, short: float) -> None:
-    assert closing_lease(lease, answer_time) == pytest.approx(short)
+    assert closing_lease_time(lease, answer_time) == pytest.approx(short)
 
 
 def test_short_leases_are_longer_if_half_of_the_holders_answered_late() -> None:
