--- a/banklift/decide/offsets.py
+++ b/banklift/decide/offsets.py
@@ -114,13 +114,13 @@
         self.lineage: dict[str, int] = {}  # last offset that counts in each history of the lineage
         self.replid: str | None = None  # the newest history
         self.primary_member: str | None = None  # name of the member that is its primary
-        self.owner_heard_at = -math.inf
+        self.primary_heard_at = -math.inf
         self.offset_advanced_at = -math.inf  # when the primary was asked for the newest offset first
         self.last_answers: dict[str, _LastAnswer] = {}  # by member
         self.former_histories: dict[str, None] = {}  # histories that an unrelated one has replaced
         # Histories that marks name and no member has reported, with the time of the first such mark.
         self.unknown_histories: dict[str, float] = {}
-        self.last_learnt_at = -math.inf
+        self.last_recorded_at = -math.inf
 
     def record_answer(
         self,
@@ -135,7 +135,7 @@
         `asked_at` is when the member was asked, `now` when its answer came, and `unanswered_since` when the oldest
         write was sent that this member has not answered yet.
         """
-        self.last_learnt_at = now
+        self.last_recorded_at = now
         last_answer = self.last_answers.get(member)
         replid = status.replid
         data_replaced = False
@@ -166,7 +166,7 @@
                 replica_at if status.primary else max(replica_at, asked_at),
             )
         if status.primary:
-            fact = self._learn_primary(member, status, replid, asked_at, now, unanswered_since)
+            fact = self._record_primary(member, status, replid, asked_at, now, unanswered_since)
         else:
             if member == self.primary_member:
                 self.primary_member = None
@@ -175,7 +175,7 @@
             )
         return ProvenFacts(fact.primary, fact.position, data_replaced, fact.history_unknown, fact.offset)
 
-    def _learn_primary(
+    def _record_primary(
         self,
         member: str,
         status: ReplicationStatus,
@@ -195,14 +195,15 @@
             if not self._adopt_history(member, status, replid, now):
                 return ProvenFacts(False)  # its lineage is another one, and the known primary is alive
         elif (
-            self.primary_member not in (None, member) and now - self.owner_heard_at < PRIMARY_SILENCE_TIMEOUT
+            self.primary_member not in (None, member)
+            and now - self.primary_heard_at < PRIMARY_SILENCE_TIMEOUT
         ):
             pass  # two members claim the same history: it was handed over, and the later answer counts
         newest_offset = self.sample_offsets[-1] if self.sample_offsets else -1
         if status.offset > newest_offset:
             self.offset_advanced_at = asked_at
         self.primary_member = member
-        self.owner_heard_at = now
+        self.primary_heard_at = now
         self._add_sample(asked_at, status.offset)
         if unanswered_since is not None and unanswered_since < asked_at and status.offset <= newest_offset:
             return ProvenFacts(True, max(unanswered_since, self.offset_advanced_at), offset=status.offset)
@@ -232,7 +233,7 @@
         else:
             if (
                 self.primary_member not in (None, member)
-                and now - self.owner_heard_at < PRIMARY_SILENCE_TIMEOUT
+                and now - self.primary_heard_at < PRIMARY_SILENCE_TIMEOUT
             ):
                 return False
             self.former_histories.update(dict.fromkeys(self.lineage))
@@ -345,7 +346,7 @@
         """
         if replid in self.lineage or replid in self.former_histories:
             return False
-        self.last_learnt_at = now
+        self.last_recorded_at = now
         self.unknown_histories.setdefault(replid, now)
         drop_oldest_histories(self.unknown_histories)
         return now - self.unknown_histories[replid] < PRIMARY_SILENCE_TIMEOUT
@@ -362,7 +363,7 @@
         if (
             fact.position is not None
             and fact.position > mark.at  # not equal: a sample of that very time may be older
-            and self.last_learnt_at - unknown_since >= PRIMARY_SILENCE_TIMEOUT
+            and self.last_recorded_at - unknown_since >= PRIMARY_SILENCE_TIMEOUT
         ):
             return True
         if fact.offset is None or mark.replid is None:
--- a/banklift/resp/front.py
+++ b/banklift/resp/front.py
@@ -141,7 +141,7 @@
         self.config = config
         self.core = core
         assert isinstance(core.proofs, RespProofs)
-        self._tracks = core.proofs.tracks
+        self._histories = core.proofs.histories
         self.routes = Routes(config)
         self.clients: dict[int, Client] = {}
         self.places: dict[int, tuple[Client, Place]] = {}  # by the core's id of the request
@@ -496,7 +496,7 @@
         """Adds what was seen in a group to the marks."""
         current = marks.get(group)
         marks[group] = (
-            seen if current is None else self._tracks[group].merge_marks(current, seen, self.core.now)
+            seen if current is None else self._histories[group].merge_marks(current, seen, self.core.now)
         )
 
     def _session_marks(self, state: Client) -> dict[int, SessionMark]:
@@ -778,7 +778,7 @@
         state.sent_token = True
         for group, mark in marks.items():
             unknown_histories = [
-                self._tracks[group].note_history(seen.replid, self.core.now)
+                self._histories[group].note_history(seen.replid, self.core.now)
                 for seen in mark.parts()
                 if seen.replid
             ]
@@ -809,11 +809,11 @@
             """The count that WAIT replies with, or `NOT_READY` after arranging another poll."""
             counts = []
             for group, seen in self._session_marks(state).items():
-                track = self._tracks[group]
+                history = self._histories[group]
                 counts.append(
                     sum(
-                        name != track.primary_member and track.member_covers(name, seen)
-                        for name in track.last_answers
+                        name != history.primary_member and history.member_covers(name, seen)
+                        for name in history.last_answers
                     )
                 )
             count = min(counts, default=0)
--- a/banklift/resp/proofs.py
+++ b/banklift/resp/proofs.py
@@ -50,7 +50,7 @@
 
     def __init__(self, core: Machine, groups: int) -> None:
         self.core = core
-        self.tracks = [ReplicationHistory() for _ in range(groups)]
+        self.histories = [ReplicationHistory() for _ in range(groups)]
         # reports that wait for a sample, by group: member, time asked and load
         self.delayed_reports: dict[int, list[tuple[Node, float, float]]] = {}
 
@@ -70,7 +70,7 @@
                 return (
                     now
                     + FLOOR_MARGIN_SECONDS
-                    - self.tracks[request.group].required_position(request.seen, now)
+                    - self.histories[request.group].required_position(request.seen, now)
                 )
         return None
 
@@ -107,11 +107,13 @@
             elif not attempt.open.final:
                 seen = None
                 if writes:
-                    seen = self.tracks[node.group].make_mark(node.name, fact.offset, now)
+                    seen = self.histories[node.group].make_mark(node.name, fact.offset, now)
                 elif request.kind.need in MARKING_READS:
                     # what the read showed is no newer than the status after it
                     after = result.after and self.learn(node, result.after, attempt.asked, None)
-                    seen = self.tracks[node.group].make_mark(node.name, after.offset if after else None, now)
+                    seen = self.histories[node.group].make_mark(
+                        node.name, after.offset if after else None, now
+                    )
                 served = Served(result.answer, seen)
         load = result.replication_status.load if result.replication_status is not None else None
         return Judged(
@@ -131,7 +133,7 @@
             case Need.BOUNDED:
                 floor = attempt.asked - request.kind.bound
             case Need.SESSION if not request.current:
-                return request.seen is None or self.tracks[request.group].covers(fact, request.seen)
+                return request.seen is None or self.histories[request.group].covers(fact, request.seen)
             case _:
                 floor = attempt.open.arrived
         return fact.position is not None and fact.position >= floor
@@ -144,7 +146,7 @@
         `waiting`: when the oldest write was sent that the member has not answered (see `unanswered_since`
         of `ReplicationHistory.record_answer`).
         """
-        fact = self.tracks[node.group].record_answer(node.name, reported, asked, self.core.now, waiting)
+        fact = self.histories[node.group].record_answer(node.name, reported, asked, self.core.now, waiting)
         if fact.history_unknown:
             node.lore.doubt = True
             # its role may have changed, so ask for its history
@@ -163,7 +165,7 @@
         reported = parse_replication_status(attempt.frames[0])
         if reported is None or attempt.open.ask.kind.need is Need.WRITE:
             return
-        was_primary = self.tracks[node.group].primary_member == node.name
+        was_primary = self.histories[node.group].primary_member == node.name
         fact = self.learn(node, reported, attempt.asked, None)
         if fact.primary is not None and fact.primary != was_primary:
             self._report(node, attempt.asked, fact.primary, fact.position, reported.load)
@@ -210,17 +212,17 @@
 
     def forget(self, node: Node) -> None:
         """The member is no longer listed."""
-        self.tracks[node.group].forget(node.name)
+        self.histories[node.group].forget(node.name)
 
     def _primary_of(self, node: Node) -> Node | None:
         """The member that leads the group of this one, if it is known."""
-        name = self.tracks[node.group].primary_member
+        name = self.histories[node.group].primary_member
         return self.core.nodes.get(name) if name is not None else None
 
     def _send_delayed_reports(self, group: int) -> None:
         """Sends the delayed reports of a group, as the sample has come or won't come."""
         for node, asked, load in self.delayed_reports.pop(group, ()):
-            position, _ = self.tracks[group].proven_position(node.name)
+            position, _ = self.histories[group].proven_position(node.name)
             self._report(node, asked, False, position, load)
 
     def _report(
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -255,7 +255,7 @@
         return super().submit(ask)
 
 
-class AlwaysCurrentTrack(ReplicationHistory):
+class AlwaysCurrentHistory(ReplicationHistory):
     """Takes every offset for the newest one."""
 
     def position(self, replid: str, offset: int) -> float | None:
@@ -267,10 +267,10 @@
 
     def __init__(self, *args: object) -> None:
         super().__init__(*args)  # type: ignore[arg-type]
-        resp_proofs(self).tracks[:] = [AlwaysCurrentTrack() for _ in resp_proofs(self).tracks]
+        resp_proofs(self).histories[:] = [AlwaysCurrentHistory() for _ in resp_proofs(self).histories]
 
 
-class FirstHistoryTrack(ReplicationHistory):
+class FirstOnlyHistory(ReplicationHistory):
     """Accepts the first replication history and no later one."""
 
     def _adopt_history(self, member: str, status: ReplicationStatus, replid: str, now: float) -> bool:
@@ -282,7 +282,7 @@
 
     def __init__(self, *args: object) -> None:
         super().__init__(*args)  # type: ignore[arg-type]
-        resp_proofs(self).tracks[:] = [FirstHistoryTrack() for _ in resp_proofs(self).tracks]
+        resp_proofs(self).histories[:] = [FirstOnlyHistory() for _ in resp_proofs(self).histories]
 
 
 class DropsTokensOfReads(Machine):
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -714,9 +714,9 @@
 def test_a_bounded_read_is_served_from_data_as_old_as_its_bound_and_no_older() -> None:
     for age, served in ((0.7, True), (0.9, False)):
         rig = Rig()
-        track = rig.proofs.tracks[0]
-        track.record_answer("p", ReplicationStatus(True, 40, replid=A), rig.now - age, rig.now)
-        track.record_answer("p", ReplicationStatus(True, 90, replid=A), rig.now - 0.1, rig.now)
+        history = rig.proofs.histories[0]
+        history.record_answer("p", ReplicationStatus(True, 40, replid=A), rig.now - age, rig.now)
+        history.record_answer("p", ReplicationStatus(True, 90, replid=A), rig.now - 0.1, rig.now)
         attempt = Attempt(
             PendingRequest(
                 1,
@@ -736,7 +736,7 @@
             rig.now + 2,
             rig.now,
         )
-        fact = track.record_answer("r", ReplicationStatus(False, 40, "p:1", replid=A), rig.now, rig.now)
+        fact = history.record_answer("r", ReplicationStatus(False, 40, "p:1", replid=A), rig.now, rig.now)
         assert rig.proofs.proves(attempt, fact) is served
 
 
--- a/tests/test_offsets.py
+++ b/tests/test_offsets.py
@@ -50,138 +50,143 @@
         """Offset of the log at a time."""
         return max((end for when, end in commits if when <= at), default=0)
 
-    track = ReplicationHistory()
-    track.record_answer("p", primary(0), 0.0, 0.0)
+    history = ReplicationHistory()
+    history.record_answer("p", primary(0), 0.0, 0.0)
     for asked_at, way_there, way_back in sorted(
         samples, key=lambda sample: sample[0] + sample[1] + sample[2]
     ):
-        track.record_answer(
+        history.record_answer(
             "p", primary(log_end(asked_at + way_there)), asked_at, asked_at + way_there + way_back
         )
-    position = track.position(A, applied)
+    position = history.position(A, applied)
     if position is not None:
         assert applied >= log_end(position - 1e-9)  # all commits before that time
-    assert track.sample_times == sorted(set(track.sample_times)) and track.sample_offsets == sorted(
-        set(track.sample_offsets)
+    assert history.sample_times == sorted(set(history.sample_times)) and history.sample_offsets == sorted(
+        set(history.sample_offsets)
     )
 
 
 def test_an_idle_primary_keeps_replicas_current() -> None:
-    track = ReplicationHistory()
-    track.record_answer("p", primary(100), 1.0, 1.0)
-    track.record_answer("p", primary(100), 9.0, 9.0)
-    assert track.record_answer("r", replica(100), 9.0, 9.0).position == 9.0
+    history = ReplicationHistory()
+    history.record_answer("p", primary(100), 1.0, 1.0)
+    history.record_answer("p", primary(100), 9.0, 9.0)
+    assert history.record_answer("r", replica(100), 9.0, 9.0).position == 9.0
 
 
 def test_a_hung_primary_is_distinguished_from_an_idle_one() -> None:
-    track = ReplicationHistory()
-    track.record_answer("p", primary(100), 1.0, 1.0)
-    assert track.record_answer("p", primary(100), 5.0, 5.0).position == 5.0
+    history = ReplicationHistory()
+    history.record_answer("p", primary(100), 1.0, 1.0)
+    assert history.record_answer("p", primary(100), 5.0, 5.0).position == 5.0
     # a write was sent and the offset did not advance
-    assert track.record_answer("p", primary(100), 6.0, 6.0, unanswered_since=5.1).position == 5.1
+    assert history.record_answer("p", primary(100), 6.0, 6.0, unanswered_since=5.1).position == 5.1
     assert (
-        track.record_answer("p", primary(120), 7.0, 7.0, unanswered_since=5.1).position == 7.0
+        history.record_answer("p", primary(120), 7.0, 7.0, unanswered_since=5.1).position == 7.0
     )  # the offset advances: busy, not hung
 
 
 def test_a_promotion_cuts_the_old_history_at_the_fork() -> None:
-    track = ReplicationHistory()
-    track.record_answer("p", primary(100), 1.0, 1.0)
-    track.record_answer("p", primary(200), 2.0, 2.0)
-    track.record_answer("r", replica(150), 2.0, 2.0)
-    fact = track.record_answer("r", primary(160, B, A, 151), 3.0, 3.0)
+    history = ReplicationHistory()
+    history.record_answer("p", primary(100), 1.0, 1.0)
+    history.record_answer("p", primary(200), 2.0, 2.0)
+    history.record_answer("r", replica(150), 2.0, 2.0)
+    fact = history.record_answer("r", primary(160, B, A, 151), 3.0, 3.0)
     assert fact.primary and fact.position == 3.0 and not fact.data_replaced
-    stray = track.record_answer("q", replica(190), 3.1, 3.1)  # follows the old primary, beyond the fork
+    stray = history.record_answer("q", replica(190), 3.1, 3.1)  # follows the old primary, beyond the fork
     assert stray.offset == 150 and stray.position == 2.0
-    late = track.record_answer("p", primary(250), 3.2, 3.2)  # the old primary does not know yet
+    late = history.record_answer("p", primary(250), 3.2, 3.2)  # the old primary does not know yet
     assert late.primary is False and late.offset == 150
-    assert track.record_answer("q", replica(160, B, "r:1"), 4.0, 4.0).position == 3.0
+    assert history.record_answer("q", replica(160, B, "r:1"), 4.0, 4.0).position == 3.0
 
 
 def test_a_diverged_history_proves_nothing() -> None:
-    track = ReplicationHistory()
-    track.record_answer("p", primary(100), 1.0, 1.0)
-    assert track.record_answer("x", replica(1000, C), 1.0, 1.0).position is None
-    second = track.record_answer("y", primary(1000, C), 1.1, 1.1)
+    history = ReplicationHistory()
+    history.record_answer("p", primary(100), 1.0, 1.0)
+    assert history.record_answer("x", replica(1000, C), 1.0, 1.0).position is None
+    second = history.record_answer("y", primary(1000, C), 1.1, 1.1)
     assert second.primary is False  # two lineages at once: the first stays while its primary answers
     after = 1.1 + PRIMARY_SILENCE_TIMEOUT + 1
-    assert track.record_answer("y", primary(1000, C), after, after).primary is True
-    assert track.record_answer("p", primary(100), after, after).primary is False
+    assert history.record_answer("y", primary(1000, C), after, after).primary is True
+    assert history.record_answer("p", primary(100), after, after).primary is False
 
 
 def test_a_falling_offset_means_other_data() -> None:
-    track = ReplicationHistory()
-    track.record_answer("p", primary(100), 1.0, 1.0)
-    track.record_answer("r", replica(100), 1.0, 1.1)
-    assert track.record_answer("r", replica(100), 1.2, 1.3).data_replaced is False
+    history = ReplicationHistory()
+    history.record_answer("p", primary(100), 1.0, 1.0)
+    history.record_answer("r", replica(100), 1.0, 1.1)
+    assert history.record_answer("r", replica(100), 1.2, 1.3).data_replaced is False
     # asked earlier: an answer out of order
-    assert track.record_answer("r", replica(90), 1.05, 1.4).data_replaced is False
-    assert track.record_answer("r", replica(50), 2.0, 2.1).data_replaced is True
+    assert history.record_answer("r", replica(90), 1.05, 1.4).data_replaced is False
+    assert history.record_answer("r", replica(50), 2.0, 2.1).data_replaced is True
 
 
 def test_role_is_read_in_the_history_of_the_last_info() -> None:
-    track = ReplicationHistory()
-    track.record_answer("p", primary(100), 1.0, 1.0)
-    assert track.record_answer("r", replica(100, None), 1.0, 1.0).history_unknown
-    track.record_answer("r", replica(80), 1.1, 1.1)
-    assert track.record_answer("r", replica(100, None), 1.2, 1.2).position == 1.0
-    assert track.record_answer("r", replica(100, None, "other:1"), 1.3, 1.3).history_unknown
-    assert track.record_answer("r", replica(20, None), 1.4, 1.4).history_unknown
-    assert track.record_answer("r", primary(100, None), 1.5, 1.5).history_unknown
+    history = ReplicationHistory()
+    history.record_answer("p", primary(100), 1.0, 1.0)
+    assert history.record_answer("r", replica(100, None), 1.0, 1.0).history_unknown
+    history.record_answer("r", replica(80), 1.1, 1.1)
+    assert history.record_answer("r", replica(100, None), 1.2, 1.2).position == 1.0
+    assert history.record_answer("r", replica(100, None, "other:1"), 1.3, 1.3).history_unknown
+    assert history.record_answer("r", replica(20, None), 1.4, 1.4).history_unknown
+    assert history.record_answer("r", primary(100, None), 1.5, 1.5).history_unknown
 
 
 def test_marks_of_sessions() -> None:
-    track = ReplicationHistory()
-    track.record_answer("p", primary(100), 1.0, 1.0)
-    fact = track.record_answer("p", primary(140), 2.0, 2.2)
-    seen = track.make_mark("p", fact.offset, 2.2)
-    assert seen == SessionMark(2.2, A, 140) and track.required_position(seen, 5.0) == 2.0
-    assert track.covers(track.record_answer("r", replica(140), 3.0, 3.0), seen)
-    assert not track.covers(track.record_answer("r2", replica(139), 3.0, 3.0), seen)
+    history = ReplicationHistory()
+    history.record_answer("p", primary(100), 1.0, 1.0)
+    fact = history.record_answer("p", primary(140), 2.0, 2.2)
+    seen = history.make_mark("p", fact.offset, 2.2)
+    assert seen == SessionMark(2.2, A, 140) and history.required_position(seen, 5.0) == 2.0
+    assert history.covers(history.record_answer("r", replica(140), 3.0, 3.0), seen)
+    assert not history.covers(history.record_answer("r2", replica(139), 3.0, 3.0), seen)
     unknown = SessionMark(4.0, C, 7)
-    assert track.required_position(unknown, 4.5) == 4.0 and not track.covers(
-        track.record_answer("r", replica(140), 4.1, 4.1), unknown
+    assert history.required_position(unknown, 4.5) == 4.0 and not history.covers(
+        history.record_answer("r", replica(140), 4.1, 4.1), unknown
     )
-    track.record_answer("p", primary(140), 4.2, 4.2)
-    assert track.covers(track.record_answer("r", replica(140), 4.3, 4.3), unknown)  # all commits before 4.2
+    history.record_answer("p", primary(140), 4.2, 4.2)
+    # all commits before 4.2
+    assert history.covers(history.record_answer("r", replica(140), 4.3, 4.3), unknown)
 
 
 def test_a_write_lost_in_a_failover_is_covered_by_time_alone() -> None:
-    track = ReplicationHistory()
-    track.record_answer("p", primary(200), 1.0, 1.0)
-    seen = track.make_mark("p", 200, 1.1)
-    track.record_answer("r", primary(300, B, A, 151), 2.0, 2.0)
-    behind = track.record_answer("q", replica(200, B, "r:1"), 2.1, 2.1)
-    assert not track.covers(behind, seen)  # offset 200 means other data there
-    assert track.covers(track.record_answer("q", replica(300, B, "r:1"), 2.2, 2.2), seen)
+    history = ReplicationHistory()
+    history.record_answer("p", primary(200), 1.0, 1.0)
+    seen = history.make_mark("p", 200, 1.1)
+    history.record_answer("r", primary(300, B, A, 151), 2.0, 2.0)
+    behind = history.record_answer("q", replica(200, B, "r:1"), 2.1, 2.1)
+    assert not history.covers(behind, seen)  # offset 200 means other data there
+    assert history.covers(history.record_answer("q", replica(300, B, "r:1"), 2.2, 2.2), seen)
 
 
 def test_samples_of_an_old_primary_after_the_fork_do_not_count_for_the_new_history() -> None:
     """In a split both take writes, neither knowing of the other. Samples of the old primary after the fork would date
     writes of the new history too late."""
-    track = ReplicationHistory()
-    track.record_answer("p", ReplicationStatus(True, 100, replid=A), 1.0, 1.01)
-    track.record_answer("r", ReplicationStatus(False, 100, "p:1", replid=A), 1.1, 1.11)
-    track.record_answer(
+    history = ReplicationHistory()
+    history.record_answer("p", ReplicationStatus(True, 100, replid=A), 1.0, 1.01)
+    history.record_answer("r", ReplicationStatus(False, 100, "p:1", replid=A), 1.1, 1.11)
+    history.record_answer(
         "p", ReplicationStatus(True, 130, replid=A), 5.0, 5.01
     )  # r is primary of its own history since 2.0, from offset 100
-    track.record_answer("r", ReplicationStatus(True, 160, replid=B, replid2=A, second_offset=101), 6.0, 6.01)
-    assert track.position(A, 100) == 1.0  # and not 5.0: r may have taken writes from 1.1 on
-    assert track.position(B, 160) == 6.0
-    assert track.position(A, 130) == 1.0
+    history.record_answer(
+        "r", ReplicationStatus(True, 160, replid=B, replid2=A, second_offset=101), 6.0, 6.01
+    )
+    assert history.position(A, 100) == 1.0  # and not 5.0: r may have taken writes from 1.1 on
+    assert history.position(B, 160) == 6.0
+    assert history.position(A, 130) == 1.0
 
 
 def test_the_old_lineage_does_not_cover_a_mark_of_an_unreported_history() -> None:
-    track = ReplicationHistory()
-    track.record_answer("p", ReplicationStatus(True, 100, replid=A), 1.0, 1.01)
-    assert not track.note_history(A, 1.5)
-    assert track.note_history(B, 2.0)  # the router of its writer has met a new primary
+    history = ReplicationHistory()
+    history.record_answer("p", ReplicationStatus(True, 100, replid=A), 1.0, 1.01)
+    assert not history.note_history(A, 1.5)
+    assert history.note_history(B, 2.0)  # the router of its writer has met a new primary
     mark = SessionMark(2.0, B, 120)
-    old = track.record_answer("p", ReplicationStatus(True, 100, replid=A), 2.5, 2.51)
-    assert old.position == 2.5 and not track.covers(old, mark)
-    track.record_answer("r", ReplicationStatus(True, 130, replid=B, replid2=A, second_offset=101), 3.0, 3.01)
-    assert not track.note_history(B, 3.1)
-    assert track.covers(ProvenFacts(True, 3.0, offset=130), mark) and not track.covers(
+    old = history.record_answer("p", ReplicationStatus(True, 100, replid=A), 2.5, 2.51)
+    assert old.position == 2.5 and not history.covers(old, mark)
+    history.record_answer(
+        "r", ReplicationStatus(True, 130, replid=B, replid2=A, second_offset=101), 3.0, 3.01
+    )
+    assert not history.note_history(B, 3.1)
+    assert history.covers(ProvenFacts(True, 3.0, offset=130), mark) and not history.covers(
         ProvenFacts(False, 1.0, offset=100), mark
     )
     lost_track = ReplicationHistory()
@@ -194,46 +199,52 @@
 
 
 def test_the_number_of_unknown_histories_is_bounded() -> None:
-    track = ReplicationHistory()
-    track.record_answer("p", ReplicationStatus(True, 100, replid=A), 1.0, 1.01)
+    history = ReplicationHistory()
+    history.record_answer("p", ReplicationStatus(True, 100, replid=A), 1.0, 1.01)
     for number in range(1000):
-        track.note_history(f"{number:040x}", 2.0)
-    assert len(track.unknown_histories) <= MAX_KNOWN_HISTORIES
+        history.note_history(f"{number:040x}", 2.0)
+    assert len(history.unknown_histories) <= MAX_KNOWN_HISTORIES
 
 
 def test_a_mark_of_two_histories_is_covered_by_a_member_that_has_both() -> None:
     """A session wrote before and after a promotion that this router has not heard of."""
-    track = ReplicationHistory()
-    track.record_answer("p", ReplicationStatus(True, 100, replid=A), 1.0, 1.01)
-    track.note_history(B, 2.0)
-    mark = track.merge_marks(SessionMark(1.5, A, 90), SessionMark(2.0, B, 120), 2.0)
-    assert not track.covers(track.record_answer("p", ReplicationStatus(True, 100, replid=A), 2.5, 2.51), mark)
-    assert track.required_position(mark, 3.0) == 2.0
-    track.record_answer("r", ReplicationStatus(True, 130, replid=B, replid2=A, second_offset=101), 3.0, 3.01)
-    assert track.covers(ProvenFacts(True, 3.0, offset=130), mark) and not track.covers(
+    history = ReplicationHistory()
+    history.record_answer("p", ReplicationStatus(True, 100, replid=A), 1.0, 1.01)
+    history.note_history(B, 2.0)
+    mark = history.merge_marks(SessionMark(1.5, A, 90), SessionMark(2.0, B, 120), 2.0)
+    assert not history.covers(
+        history.record_answer("p", ReplicationStatus(True, 100, replid=A), 2.5, 2.51), mark
+    )
+    assert history.required_position(mark, 3.0) == 2.0
+    history.record_answer(
+        "r", ReplicationStatus(True, 130, replid=B, replid2=A, second_offset=101), 3.0, 3.01
+    )
+    assert history.covers(ProvenFacts(True, 3.0, offset=130), mark) and not history.covers(
         ProvenFacts(False, 1.0, offset=110), mark
     )
     # which continues the other history
-    assert track.merge_marks(mark, SessionMark(3.0, B, 130), 3.0) == SessionMark(3.0, B, 130)
-    assert track.merge_marks(SessionMark(1.0, A, 5), SessionMark(1.0, A, 9), 3.0) == SessionMark(1.0, A, 9)
+    assert history.merge_marks(mark, SessionMark(3.0, B, 130), 3.0) == SessionMark(3.0, B, 130)
+    assert history.merge_marks(SessionMark(1.0, A, 5), SessionMark(1.0, A, 9), 3.0) == SessionMark(1.0, A, 9)
 
 
 def test_a_mark_of_too_many_histories_becomes_one_of_the_present() -> None:
-    track, mark = ReplicationHistory(), SessionMark(1.0, A, 1)
+    history, mark = ReplicationHistory(), SessionMark(1.0, A, 1)
     for number in range(MAX_MARK_HISTORIES):
-        mark = track.merge_marks(mark, SessionMark(1.0, f"{number:040x}", 1), 7.0)
+        mark = history.merge_marks(mark, SessionMark(1.0, f"{number:040x}", 1), 7.0)
     assert mark == SessionMark(7.0)
 
 
 def test_a_member_whose_history_leaves_the_lineage_has_other_data() -> None:
-    track = ReplicationHistory()
-    track.record_answer("p", ReplicationStatus(True, 100, replid=A), 1.0, 1.01)
-    track.record_answer("r", ReplicationStatus(False, 100, "p:1", replid=A), 1.1, 1.11)
-    continued = track.record_answer("r", ReplicationStatus(False, 100, "p:1", replid=B, replid2=A), 1.2, 1.21)
+    history = ReplicationHistory()
+    history.record_answer("p", ReplicationStatus(True, 100, replid=A), 1.0, 1.01)
+    history.record_answer("r", ReplicationStatus(False, 100, "p:1", replid=A), 1.1, 1.11)
+    continued = history.record_answer(
+        "r", ReplicationStatus(False, 100, "p:1", replid=B, replid2=A), 1.2, 1.21
+    )
     assert continued.data_replaced is False
-    track.record_answer("s", ReplicationStatus(False, 100, "p:1", replid=A), 1.1, 1.11)
+    history.record_answer("s", ReplicationStatus(False, 100, "p:1", replid=A), 1.1, 1.11)
     assert (
-        track.record_answer(
+        history.record_answer(
             "s", ReplicationStatus(False, 100, "p:1", replid=C, replid2="0" * 40), 1.2, 1.21
         ).data_replaced
         is True
@@ -241,22 +252,22 @@
 
 
 def test_an_answer_to_an_earlier_question_does_not_set_a_member_back() -> None:
-    track = ReplicationHistory()
-    track.record_answer("p", ReplicationStatus(True, 100, replid=A), 1.0, 1.01)
-    track.record_answer("r", ReplicationStatus(False, 100, "p:1", replid=A), 1.1, 1.2)
+    history = ReplicationHistory()
+    history.record_answer("p", ReplicationStatus(True, 100, replid=A), 1.0, 1.01)
+    history.record_answer("r", ReplicationStatus(False, 100, "p:1", replid=A), 1.1, 1.2)
     # by ROLE, on another link
-    late = track.record_answer("r", ReplicationStatus(False, 90, "p:1"), 1.15, 1.21)
-    assert not late.history_unknown and not late.data_replaced and track.proven_position("r") == (1.0, 100)
+    late = history.record_answer("r", ReplicationStatus(False, 90, "p:1"), 1.15, 1.21)
+    assert not late.history_unknown and not late.data_replaced and history.proven_position("r") == (1.0, 100)
 
 
 def test_a_forgotten_member_proves_nothing_and_is_no_primary() -> None:
-    track = ReplicationHistory()
-    track.record_answer("p", ReplicationStatus(True, 100, replid=A), 1.0, 1.01)
-    track.record_answer("r", ReplicationStatus(False, 100, "p:1", replid=A), 1.1, 1.11)
-    track.forget("r")
-    assert track.proven_position("r") == (None, None) and track.primary_member == "p"
-    track.forget("p")
+    history = ReplicationHistory()
+    history.record_answer("p", ReplicationStatus(True, 100, replid=A), 1.0, 1.01)
+    history.record_answer("r", ReplicationStatus(False, 100, "p:1", replid=A), 1.1, 1.11)
+    history.forget("r")
+    assert history.proven_position("r") == (None, None) and history.primary_member == "p"
+    history.forget("p")
     assert (
-        track.primary_member is None
-        and track.record_answer("p", ReplicationStatus(True, 100), 1.2, 1.21).history_unknown
+        history.primary_member is None
+        and history.record_answer("p", ReplicationStatus(True, 100), 1.2, 1.21).history_unknown
     )
