--- a/banklift/rig/capacity_alone.py
+++ b/banklift/rig/capacity_alone.py
@@ -12,11 +12,11 @@
 
 from banklift.fleet.messages import FrameDecoder, encode
 from banklift.fleet.node import Node
-from banklift.rig.capacity_grantor import GrantorPair, RequestCosts, Tier, request_costs
+from banklift.rig.capacity_grantor import GrantorKind, GrantorPair, RequestCosts, request_costs
 from banklift.rig.capacity_members import MemberCosts, member_costs
-from banklift.rig.capacity_plan import MEMBERS, POLICY_SIZES, ROUTERS
+from banklift.rig.capacity_plan import MEMBERS, POLICY_SIZES_BYTES, ROUTERS
 from banklift.rig.capacity_policy import PolicyCosts, policy_costs
-from banklift.rig.capacity_results import How, Slope, fitted
+from banklift.rig.capacity_results import FigureSource, Slope, fit_slope
 
 # units, as the results name them
 SECONDS, BYTES = "s", "bytes"
@@ -90,7 +90,7 @@
 
 def show_costs(holders: int, rounds: int = SHOW_ROUNDS) -> ShowCosts:
     """Measure an operator's question to a voter with so many holders."""
-    pair = GrantorPair(Tier.VOTER, holders)
+    pair = GrantorPair(GrantorKind.VOTER, holders)
     node = pair.measured
     assert isinstance(node, Node) and node.voter is not None
     voter_seconds, tool_seconds, data = [], [], b""
@@ -114,13 +114,13 @@
 ) -> list[Slope]:
     """One slope for each series. `measurements`: sizes, each with what was measured there."""
     return [
-        fitted(
+        fit_slope(
             f"{prefix}.{series.key}",
             role,
             series.what,
             series.unit,
             against,
-            How.ISOLATED,
+            FigureSource.ISOLATED,
             [(size, series.cost(costs)) for size, costs in measurements],
             planned_size,
         )
@@ -128,18 +128,18 @@
     ]
 
 
-def request_slopes(tier: Tier, sizes: Sequence[int]) -> list[Slope]:
+def request_slopes(tier: GrantorKind, sizes: Sequence[int]) -> list[Slope]:
     """Measure the lease requests to a voter or an aggregator against the number of its holders.
 
     Errors: `ValueError` with fewer than two sizes.
     """
-    return slopes_of_requests(tier, [request_costs(tier, size) for size in sizes])
+    return slopes_from_request_costs(tier, [request_costs(tier, size) for size in sizes])
 
 
-def slopes_of_requests(tier: Tier, costs: Sequence[RequestCosts]) -> list[Slope]:
+def slopes_from_request_costs(tier: GrantorKind, costs: Sequence[RequestCosts]) -> list[Slope]:
     """The slopes of measurements that were made before. Errors: `ValueError` with fewer than two."""
     measurements: list[tuple[float, object]] = [(cost.holders, cost) for cost in costs]
-    all_series = REQUEST_SERIES + (SURVEY_SERIES if tier is Tier.VOTER else ())
+    all_series = REQUEST_SERIES + (SURVEY_SERIES if tier is GrantorKind.VOTER else ())
     return _slopes(str(tier), str(tier), AGAINST_HOLDERS, ROUTERS, all_series, measurements)
 
 
@@ -169,7 +169,7 @@
     """
     costs: list[PolicyCosts] = [policy_costs(size) for size in sizes]
     measurements: list[tuple[float, object]] = [(cost.size, cost) for cost in costs]
-    largest = POLICY_SIZES[-1]
+    largest = POLICY_SIZES_BYTES[-1]
     return [
         *_slopes("policy", "router", AGAINST_POLICY, largest, POLICY_ROUTER_SERIES, measurements),
         *_slopes("policy", "voter", AGAINST_POLICY, largest, POLICY_VOTER_SERIES, measurements),
--- a/banklift/rig/capacity_grantor.py
+++ b/banklift/rig/capacity_grantor.py
@@ -51,7 +51,7 @@
 SECOND_POLICY_PREFIX = b"second policy "
 
 
-class Tier(StrEnum):
+class GrantorKind(StrEnum):
     """Which kind of grantor is measured."""
 
     VOTER = "voter"
@@ -88,16 +88,16 @@
     `policy_size`: bytes of the policies. Time is virtual and passes in `advance` and between two requests.
     """
 
-    def __init__(self, tier: Tier, holders: int, policy_size: int = len(FIRST_POLICY_PREFIX)) -> None:
+    def __init__(self, tier: GrantorKind, holders: int, policy_size: int = len(FIRST_POLICY_PREFIX)) -> None:
         self.tier = tier
         self.now = 1000.0  # seconds on the clock of all
-        self.voters = (MEASURED, DRIVER) if tier is Tier.VOTER else (DRIVER,)
-        self.sub_lease = SUB_LEASE if tier is Tier.AGGREGATOR else 0.0
+        self.voters = (MEASURED, DRIVER) if tier is GrantorKind.VOTER else (DRIVER,)
+        self.sub_lease = SUB_LEASE if tier is GrantorKind.AGGREGATOR else 0.0
         self.policy = policy_text(policy_size)  # in force
         self.next_policy = policy_text(policy_size, SECOND_POLICY_PREFIX)  # to be proposed
         self.driver = self._voter(DRIVER)
         self.measured: Member = self._voter(MEASURED)
-        if tier is Tier.AGGREGATOR:
+        if tier is GrantorKind.AGGREGATOR:
             self.measured = AggregatorNode(self._plan(MEASURED), 1, 1)
         self.nodes: dict[str, Member] = {MEASURED: self.measured, DRIVER: self.driver}
         # the other end of each end of a link between the grantors; an end is a grantor's name and its link number
@@ -259,7 +259,7 @@
 
 
 def request_costs(
-    tier: Tier, holders: int, rounds: int = ROUNDS, timed_holders: int = TIMED_HOLDERS
+    tier: GrantorKind, holders: int, rounds: int = ROUNDS, timed_holders: int = TIMED_HOLDERS
 ) -> RequestCosts:
     """Measure a grantor with so many holders, at least 2. `timed_holders`: whose requests are timed, at the most.
 
@@ -276,7 +276,7 @@
     pair.advance(0.0)
     checking = min(pair.request_round(timed, change, ()) for _ in range(rounds))
     pair.request_round(all_holders[:-1], change, ())
-    survey = min(_survey(pair) for _ in range(rounds)) if tier is Tier.VOTER else 0.0
+    survey = min(_survey(pair) for _ in range(rounds)) if tier is GrantorKind.VOTER else 0.0
     pair.request_round([last], change, ())
     pair.advance(AGREEMENT_TIME)  # from now on the long leases of the others run out
     closing = min(pair.request_round(timed, change, ()) for _ in range(rounds))
--- a/banklift/rig/capacity_needs.py
+++ b/banklift/rig/capacity_needs.py
@@ -14,7 +14,14 @@
 from banklift.fleet.holder_table import MAX_HOLDERS
 from banklift.proxy.plan import Limits
 from banklift.rig import capacity_plan as plan
-from banklift.rig.capacity_results import Changes, How, ResourceUsage, Rest, Results, Victim
+from banklift.rig.capacity_results import (
+    ChangeSeries,
+    FigureSource,
+    IdleFleet,
+    ResourceUsage,
+    Results,
+    Victim,
+)
 
 HEADER_BYTES = 66.0  # of Ethernet, IP, and TCP with timestamps, around each segment
 SEGMENTS_PER_MESSAGE = 2.0  # the message itself and its acknowledgement
@@ -22,7 +29,7 @@
 ROUTER_CORES = 1.0  # a router is one process on one core
 # an upper bound, as if every change of configuration and every event changed the list
 LIST_CHANGES_A_SECOND = (plan.CONFIGURATION_CHANGES + plan.EVENTS_A_DAY) / plan.DAY
-LARGE_POLICY_BYTES = plan.POLICY_SIZES[-1]
+LARGE_POLICY_BYTES = plan.POLICY_SIZES_BYTES[-1]
 
 
 class Unit(StrEnum):
@@ -45,7 +52,7 @@
     need: float | None  # None if it was not measured
     budget: float | None  # None if the plan states none
     unit: Unit  # of the need and of the budget
-    how: How
+    how: FigureSource
     mechanism: str  # by what the fleet keeps the budget, or what it lacks to keep it
 
     @property
@@ -72,22 +79,24 @@
 # ---- what was measured
 
 
-def rest_at(results: Results, tiered: bool) -> Rest | None:
+def rest_at(results: Results, tiered: bool) -> IdleFleet | None:
     """The largest fleet that was measured at rest. `tiered`: with aggregators."""
     rests = [rest for rest in results.rests if (rest.aggregators > 0) is tiered]
     return max(rests, key=lambda rest: rest.routers, default=None)
 
 
-def rate_run(results: Results) -> Changes | None:
+def rate_run(results: Results) -> ChangeSeries | None:
     """The series of changes at about the planned rate, in the largest fleet. Above twice the planned rate, a series is
     one of changes as fast as the fleet takes them (`fastest_run`)."""
-    runs = [series for series in results.changes if series.rate and series.rate <= 2 * plan.CHANGES_A_SECOND]
+    runs = [
+        series for series in results.changes if series.rate and series.rate <= 2 * plan.CHANGES_PER_SECOND
+    ]
     return max(runs, key=lambda series: series.routers, default=None)
 
 
-def fastest_run(results: Results) -> Changes | None:
+def fastest_run(results: Results) -> ChangeSeries | None:
     """The series of changes as fast as the fleet takes them, in the largest fleet."""
-    runs = [series for series in results.changes if series.rate > 2 * plan.CHANGES_A_SECOND]
+    runs = [series for series in results.changes if series.rate > 2 * plan.CHANGES_PER_SECOND]
     return max(runs, key=lambda series: series.routers, default=None)
 
 
@@ -97,26 +106,26 @@
     return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
-def tiered_fleets(results: Results) -> list[tuple[Changes, ...]]:
+def tiered_fleets(results: Results) -> list[tuple[ChangeSeries, ...]]:
     """The series of changes of each fleet with aggregators, the largest fleet first."""
-    fleets: dict[tuple[int, int], list[Changes]] = {}
+    fleets: dict[tuple[int, int], list[ChangeSeries]] = {}
     for changes in results.changes:
         if changes.aggregators:
             fleets.setdefault((changes.routers, changes.aggregators), []).append(changes)
     return [tuple(fleets[key]) for key in sorted(fleets, reverse=True)]
 
 
-def undisturbed_times(series: Sequence[Changes]) -> list[float]:
+def undisturbed_times(series: Sequence[ChangeSeries]) -> list[float]:
     """Seconds of the changes that followed one after the other without faults."""
     return [time for changes in series if not changes.kill and not changes.rate for time in changes.times]
 
 
-def times_with_kills(series: Sequence[Changes]) -> list[float]:
+def times_with_kills(series: Sequence[ChangeSeries]) -> list[float]:
     """Seconds of the changes around which something was ended by SIGKILL."""
     return [
         time
         for changes in series
-        if changes.kill and changes.kill != Victim.LEAVING
+        if changes.kill and changes.kill != Victim.FIVE_ROUTERS_BY_SIGTERM
         for time in changes.times
     ]
 
@@ -170,7 +179,7 @@
     policy_core = None
     check, adopt = _planned_cost(results, "policy.check"), _planned_cost(results, "policy.adopt")
     if check is not None and adopt is not None:
-        policy_core = (check + adopt) * plan.CHANGES_A_SECOND
+        policy_core = (check + adopt) * plan.CHANGES_PER_SECOND
     return [
         Need(
             "router",
@@ -178,7 +187,7 @@
             core,
             plan.ROUTER_CORE_SHARE,
             Unit.CORE,
-            How.HOLLOW,
+            FigureSource.HOLLOW,
             "sub-leases of one aggregator, with a standby",
         ),
         Need(
@@ -187,7 +196,7 @@
             policy_core,
             plan.ROUTER_CORE_SHARE,
             Unit.CORE,
-            How.CALCULATED,
+            FigureSource.CALCULATED,
             "whole policies are checked; missing for larger ones: parts of a policy",
         ),
         Need(
@@ -196,7 +205,7 @@
             _cost_times(_planned_cost(results, "members.delta"), LIST_CHANGES_A_SECOND),
             plan.ROUTER_CORE_SHARE,
             Unit.CORE,
-            How.CALCULATED,
+            FigureSource.CALCULATED,
             "deltas; each still costs O(members)",
         ),
         Need(
@@ -205,7 +214,7 @@
             None if real is None else real.core,
             plan.ROUTER_CORE_SHARE,
             Unit.CORE,
-            How.REAL,
+            FigureSource.REAL,
             "leases, idle links to three members",
         ),
         Need(
@@ -214,7 +223,7 @@
             list_memory,
             plan.ROUTER_MEMORY,
             Unit.BYTES,
-            How.ISOLATED,
+            FigureSource.ISOLATED,
             "a record a member",
         ),
         Need(
@@ -223,16 +232,16 @@
             None if real is None or list_memory is None else real.memory_alone + list_memory,
             plan.ROUTER_MEMORY,
             Unit.BYTES,
-            How.CALCULATED,
+            FigureSource.CALCULATED,
             "interpreter and libraries are most of it; control shares them with the data plane",
         ),
         Need(
             "router",
-            f"leases and changes of {plan.POLICY_USUAL / 1024:.0f} KB policies: payload",
+            f"leases and changes of {plan.USUAL_POLICY_BYTES / 1024:.0f} KB policies: payload",
             traffic,
             plan.ROUTER_BYTES,
             Unit.BYTES_A_SECOND,
-            How.HOLLOW,
+            FigureSource.HOLLOW,
             "sub-leases; a policy's text goes once to each router that lacks it",
         ),
         Need(
@@ -241,20 +250,20 @@
             None if messages is None else 2 * messages * SEGMENTS_PER_MESSAGE * HEADER_BYTES,
             plan.ROUTER_BYTES,
             Unit.BYTES_A_SECOND,
-            How.CALCULATED,
+            FigureSource.CALCULATED,
             f"{HEADER_BYTES:.0f} bytes a segment, one acknowledgement a message",
         ),
         *[
             Need(
                 "router",
                 f"policies of {size / 1024:.0f} KB, the text of each change: payload",
-                size * plan.CHANGES_A_SECOND,
+                size * plan.CHANGES_PER_SECOND,
                 plan.ROUTER_BYTES,
                 Unit.BYTES_A_SECOND,
-                How.CALCULATED,
+                FigureSource.CALCULATED,
                 "missing: a change as a delta against the policy in force",
             )
-            for size in plan.POLICY_SIZES[2:]
+            for size in plan.POLICY_SIZES_BYTES[2:]
         ],
         Need(
             "router",
@@ -262,7 +271,7 @@
             _cost_times(_planned_cost(results, "members.delta.bytes"), LIST_CHANGES_A_SECOND),
             plan.ROUTER_BYTES,
             Unit.BYTES_A_SECOND,
-            How.CALCULATED,
+            FigureSource.CALCULATED,
             "deltas of a long poll",
         ),
     ]
@@ -279,7 +288,7 @@
             direct_core,
             plan.VOTER_CORE_SHARE,
             Unit.CORE,
-            How.HOLLOW,
+            FigureSource.HOLLOW,
             "not used at this size: lease aggregators",
         ),
         Need(
@@ -288,7 +297,7 @@
             None if usage is None else usage.core,
             plan.VOTER_CORE_SHARE,
             Unit.CORE,
-            How.HOLLOW,
+            FigureSource.HOLLOW,
             "lease aggregators; lease table without scans",
         ),
         Need(
@@ -297,7 +306,7 @@
             float(plan.ROUTERS),
             float(MAX_HOLDERS),
             Unit.COUNT,
-            How.CALCULATED,
+            FigureSource.CALCULATED,
             "a full table refuses with its reason",
         ),
         Need(
@@ -306,16 +315,16 @@
             float(plan.AGGREGATORS + plan.VOTERS - 1),
             float(MAX_HOLDERS),
             Unit.COUNT,
-            How.CALCULATED,
+            FigureSource.CALCULATED,
             "lease aggregators",
         ),
         Need(
             "voter",
             f"written to disk for changes of {LARGE_POLICY_BYTES / 1024:.0f} KB",
-            _cost_times(save_bytes, plan.SAVES_PER_CHANGE * plan.CHANGES_A_SECOND),
+            _cost_times(save_bytes, plan.SAVES_PER_CHANGE * plan.CHANGES_PER_SECOND),
             None,
             Unit.BYTES_A_SECOND,
-            How.CALCULATED,
+            FigureSource.CALCULATED,
             "two files in turn, whole state each time",
         ),
     ]
@@ -330,7 +339,7 @@
             None if usage is None else usage.core,
             plan.AGGREGATOR_CORE_SHARE,
             Unit.CORE,
-            How.HOLLOW,
+            FigureSource.HOLLOW,
             f"{plan.AGGREGATORS} aggregators, {plan.ROUTERS_PER_AGGREGATOR:.0f} routers each",
         ),
         Need(
@@ -339,7 +348,7 @@
             None if usage is None else usage.memory,
             None,
             Unit.BYTES,
-            How.HOLLOW,
+            FigureSource.HOLLOW,
             "an entry a router; nothing on disk",
         ),
     ]
@@ -358,7 +367,7 @@
                 statistics.median(undisturbed) if undisturbed else None,
                 plan.CHANGE_MEDIAN,
                 Unit.SECONDS,
-                How.HOLLOW,
+                FigureSource.HOLLOW,
                 limited or "aggregators gather verdicts; short leases",
             ),
             Need(
@@ -367,7 +376,7 @@
                 statistics.median(with_kills) if with_kills else None,
                 plan.CHANGE_MEDIAN,
                 Unit.SECONDS,
-                How.HOLLOW,
+                FigureSource.HOLLOW,
                 limited or "missing: to know that a killed process has ended before its lease does",
             ),
             Need(
@@ -376,7 +385,7 @@
                 percentile(with_kills, 0.99) if with_kills else None,
                 plan.CHANGE_PERCENTILE_99,
                 Unit.SECONDS,
-                How.HOLLOW,
+                FigureSource.HOLLOW,
                 limited or "leases of a few seconds",
             ),
         ]
@@ -388,9 +397,9 @@
             "change",
             f"seconds that one takes, of those between two at the planned rate, {fleet}",
             None if highest_rate is None else 1.0 / highest_rate,
-            1.0 / plan.CHANGES_A_SECOND,
+            1.0 / plan.CHANGES_PER_SECOND,
             Unit.SECONDS,
-            How.HOLLOW,
+            FigureSource.HOLLOW,
             "one change at a time; missing for more: several in one",
         )
     )
@@ -409,7 +418,7 @@
             answers_a_second,
             None,
             Unit.A_SECOND,
-            How.CALCULATED,
+            FigureSource.CALCULATED,
             "long polls: each change answers all of them; missing: a tier of caches",
         ),
         Need(
@@ -418,7 +427,7 @@
             _cost_times(delta_bytes, plan.ROUTERS * LIST_CHANGES_A_SECOND),
             None,
             Unit.BYTES_A_SECOND,
-            How.CALCULATED,
+            FigureSource.CALCULATED,
             "deltas",
         ),
         Need(
@@ -427,7 +436,7 @@
             _cost_times(call_bytes, answers_a_second),
             None,
             Unit.BYTES_A_SECOND,
-            How.CALCULATED,
+            FigureSource.CALCULATED,
             "one question after each answer",
         ),
         Need(
@@ -436,7 +445,7 @@
             _cost_times(list_bytes, plan.ROUTERS / plan.ZONES_IN_ALL_REGIONS),
             None,
             Unit.BYTES,
-            How.CALCULATED,
+            FigureSource.CALCULATED,
             "missing: the list kept on disk over a restart",
         ),
     ]
@@ -450,7 +459,7 @@
             float(plan.ROUTERS),
             None,
             Unit.COUNT,
-            How.CALCULATED,
+            FigureSource.CALCULATED,
             "missing: a part of the members for each router",
         ),
         Need(
@@ -459,7 +468,7 @@
             float(plan.MEMBER_CONNECTIONS),
             None,
             Unit.COUNT,
-            How.CALCULATED,
+            FigureSource.CALCULATED,
             "missing: a part of the members for each router",
         ),
     ]
@@ -473,7 +482,7 @@
             _planned_cost(results, "operator.show.bytes"),
             None,
             Unit.BYTES,
-            How.ISOLATED,
+            FigureSource.ISOLATED,
             "with aggregators a voter lists these, with counts",
         ),
         Need(
@@ -482,7 +491,7 @@
             _planned_cost(results, "operator.show.tool"),
             None,
             Unit.SECONDS,
-            How.ISOLATED,
+            FigureSource.ISOLATED,
             "the same",
         ),
     ]
@@ -497,7 +506,7 @@
             _cost_times(statement_seconds, plan.STATEMENTS_PER_ROUTER),
             ROUTER_CORES,
             Unit.CORE,
-            How.CALCULATED,
+            FigureSource.CALCULATED,
             "missing: more than one process on a machine behind one address",
         ),
         Need(
@@ -506,7 +515,7 @@
             plan.CLIENTS_PER_ROUTER,
             float(Limits().clients),
             Unit.COUNT,
-            How.CALCULATED,
+            FigureSource.CALCULATED,
             "the limit that a file has by default",
         ),
     ]
--- a/banklift/rig/capacity_page.py
+++ b/banklift/rig/capacity_page.py
@@ -25,10 +25,10 @@
     times_with_kills,
     undisturbed_times,
 )
-from banklift.rig.capacity_results import Changes, How, Rest, Results, Slope, Victim
+from banklift.rig.capacity_results import ChangeSeries, FigureSource, IdleFleet, Results, Slope, Victim
 
 MISSING = "not measured"
-NOTHING_KILLED = "nothing"  # stands for `Victim.NOBODY`, whose value is empty
+NOTHING_KILLED = "nothing"  # stands for `Victim.NONE`, whose value is empty
 # fraction of the planned rate from which a series has kept it; the last change may end just after the series' time
 MIN_RATE_KEPT = 0.97
 TABLE_PLACE = re.compile(r"(<!-- table: ([a-z-]+) -->\n).*?(<!-- end of table -->)", re.DOTALL)
@@ -38,7 +38,7 @@
     """The page has a place for a table of this name, and `TABLES` has none."""
 
 
-def filled(page: str, results: Results) -> str:
+def fill_tables(page: str, results: Results) -> str:
     """The page with the tables of these results in place of those that it holds. Errors: `UnknownTable`."""
 
     def fill(place: re.Match[str]) -> str:
@@ -99,7 +99,7 @@
     return "\n".join(f"| {line} |" for line in lines)
 
 
-def fleet_label(run: Rest | Changes) -> str:
+def fleet_label(run: IdleFleet | ChangeSeries) -> str:
     """The size and the leases of the hollow fleet that was measured."""
     tiers = f"{run.voters} voters"
     leases = format_seconds(run.lease)
@@ -137,7 +137,7 @@
         [
             "changes of configuration a day",
             f"{plan.CONFIGURATION_CHANGES:,}",
-            f"{plan.CHANGES_A_SECOND:.3f} a second",
+            f"{plan.CHANGES_PER_SECOND:.3f} a second",
         ],
         ["in force everywhere within", format_seconds(plan.CHANGE_TIME), ""],
         [
@@ -308,7 +308,7 @@
     return markdown_table(head, body)
 
 
-def _cost_beyond_rest(results: Results, series: Changes) -> str:
+def _cost_beyond_rest(results: Results, series: ChangeSeries) -> str:
     """Processor time that one change costs the whole fleet in addition to what the fleet uses at rest."""
     shape = series.routers, series.voters, series.aggregators
     rest = next(
@@ -325,16 +325,16 @@
     return format_seconds(max(0.0, (series.machine_core - rest.machine_core) * series.seconds / count))
 
 
-def _rate_label(series: Changes) -> str:
+def _rate_label(series: ChangeSeries) -> str:
     """How fast the changes of a series followed one another."""
     if not series.rate:
         return "one after the other, with pauses for what was killed"
-    if series.rate > 2 * plan.CHANGES_A_SECOND:
+    if series.rate > 2 * plan.CHANGES_PER_SECOND:
         return f"as fast as they go: {len(series.times) / series.seconds:.2f} a second"
     return f"{series.rate:.2f} a second for {series.seconds:.0f} s"
 
 
-def _core_by_role(series: Changes) -> str:
+def _core_by_role(series: ChangeSeries) -> str:
     """Processor time of a router, a voter and, if the fleet has them, an aggregator."""
     usages = [series.router, series.voter, *([series.aggregator] if series.aggregator is not None else [])]
     return ", ".join(format_core(usage.core) if usage.core else MISSING for usage in usages)
@@ -369,7 +369,7 @@
     return markdown_table(["fleet", "aim", "limit", "measured, hollow", "of", "holds"], body)
 
 
-def _target_rows(results: Results, series: Sequence[Changes]) -> list[list[str]]:
+def _target_rows(results: Results, series: Sequence[ChangeSeries]) -> list[list[str]]:
     """The rows of one fleet in the table of targets."""
     fleet_name = fleet_label(series[0])
     body: list[list[str]] = []
@@ -381,7 +381,9 @@
         )
 
     undisturbed, with_kills = undisturbed_times(series), times_with_kills(series)
-    victims = ", ".join(changes.kill for changes in series if changes.kill and changes.kill != Victim.LEAVING)
+    victims = ", ".join(
+        changes.kill for changes in series if changes.kill and changes.kill != Victim.FIVE_ROUTERS_BY_SIGTERM
+    )
     kill_sample = f"{len(with_kills)} changes: {victims}" if with_kills else MISSING
     median = statistics.median(undisturbed) if undisturbed else None
     add_target(
@@ -414,17 +416,17 @@
 
 def _rate_target() -> list[str]:
     """The name of the target for the rate of changes, as the one cell of a list."""
-    return [f"{plan.CHANGES_A_SECOND:.2f} changes a second for two minutes"]
+    return [f"{plan.CHANGES_PER_SECOND:.2f} changes a second for two minutes"]
 
 
 def _rate_rows(
-    fleet_name: str, series: Changes, add_target: Callable[[str, float, float | None, Unit, str], None]
+    fleet_name: str, series: ChangeSeries, add_target: Callable[[str, float, float | None, Unit, str], None]
 ) -> list[list[str]]:
     """The row of a series at a rate; `add_target` gets the targets that are checked at the planned rate."""
     rate, attempted = len(series.times) / series.seconds, len(series.times) + series.failed
-    if series.rate > 2 * plan.CHANGES_A_SECOND:
+    if series.rate > 2 * plan.CHANGES_PER_SECOND:
         return [[fleet_name, "highest rate held", "", f"{rate:.2f}/s", f"{series.seconds:.0f} s", ""]]
-    holds = series.failed == 0 and rate >= MIN_RATE_KEPT * plan.CHANGES_A_SECOND
+    holds = series.failed == 0 and rate >= MIN_RATE_KEPT * plan.CHANGES_PER_SECOND
     sample = f"{len(series.times)} of {attempted} in force, {series.seconds:.0f} s"
     at_rate = "at that rate"
     add_target("a voter's processor time", plan.VOTER_CORE_SHARE, series.voter.core, Unit.CORE, at_rate)
@@ -436,13 +438,13 @@
     add_target("a router's processor time", plan.ROUTER_CORE_SHARE, series.router.core, Unit.CORE, at_rate)
     traffic = series.router.sent + series.router.received
     add_target("a router's payload", plan.ROUTER_BYTES, traffic, Unit.BYTES_A_SECOND, at_rate)
-    limit = f"{plan.CHANGES_A_SECOND:.2f}/s"
+    limit = f"{plan.CHANGES_PER_SECOND:.2f}/s"
     return [[fleet_name, *_rate_target(), limit, f"{rate:.2f}/s", sample, "yes" if holds else "**no**"]]
 
 
 def change_duration_table(results: Results) -> str:
     """The time that a change may take after a failure, as a sum, beside what was measured."""
-    lease, sub_lease = plan.LEASE, plan.SUB_LEASE
+    lease, sub_lease = plan.LEASE_SECONDS, plan.SUB_LEASE_SECONDS
     one_by_one = [series for series in results.changes if series.aggregators and not series.rate]
     if one_by_one:
         lease, sub_lease = one_by_one[0].lease, one_by_one[0].sub_lease
@@ -503,18 +505,18 @@
         [
             "... or, where the watch was silent, until it is opened anew",
             f"up to {format_seconds(max_notification_time)}",
-            How.CALCULATED,
+            FigureSource.CALCULATED,
         ],
         [
             "the change is read and known to the decision module",
             format_figure(read_time, Unit.SECONDS),
-            How.ISOLATED,
+            FigureSource.ISOLATED,
         ],
         ["writes that were held go to the new primary", "at once", ""],
         [
             "left for the group to elect and tell discovery",
             format_figure(remaining, Unit.SECONDS),
-            How.CALCULATED,
+            FigureSource.CALCULATED,
         ],
     ]
     return markdown_table([f"part of {format_seconds(plan.PRIMARY_CHANGE_TIME)}", "time", "from"], body)
@@ -522,9 +524,9 @@
 
 def ordinary_day_table(results: Results) -> str:
     """What the failures, restarts and changes of an ordinary day cost."""
-    sub_lease = plan.SUB_LEASE
-    delayed_by_failures = plan.MACHINE_FAILURES * plan.CHANGES_A_SECOND * sub_lease
-    delayed_if_all_killed = plan.EVENTS_A_DAY * plan.CHANGES_A_SECOND * sub_lease
+    sub_lease = plan.SUB_LEASE_SECONDS
+    delayed_by_failures = plan.MACHINE_FAILURES * plan.CHANGES_PER_SECOND * sub_lease
+    delayed_if_all_killed = plan.EVENTS_A_DAY * plan.CHANGES_PER_SECOND * sub_lease
     list_slope = results.slope("members.list.bytes")
     first_read = results.slope("members.first")
     list_bytes = None if list_slope is None else list_slope.value * plan.EVENTS_A_DAY
@@ -575,7 +577,7 @@
     run = rate_run(results)
     if run is None:
         return MISSING
-    fraction = run.refusing_mean * plan.CHANGES_A_SECOND
+    fraction = run.refusing_mean * plan.CHANGES_PER_SECOND
     return (
         f"{format_seconds(run.refusing_mean)} a change and router, "
         f"{100 * fraction:.2g}% of the time (measured, hollow)"
@@ -597,7 +599,7 @@
                 reading,
                 f"{routers:,.0f}",
                 f"{plan.AGGREGATORS / zones:.1f}",
-                f"up to {format_seconds(plan.LEASE)}",
+                f"up to {format_seconds(plan.LEASE_SECONDS)}",
                 format_figure(list_bytes, Unit.BYTES),
                 f"{plan.CLIENT_CONNECTIONS / zones:,.0f}",
             ]
@@ -615,8 +617,8 @@
 
 def region_isolation_table(results: Results) -> str:
     """What regions that lose each other for an hour can do."""
-    waiting_changes = plan.ISOLATION * plan.CHANGES_A_SECOND
-    lease = format_seconds(plan.LEASE)
+    waiting_changes = plan.ISOLATION * plan.CHANGES_PER_SECOND
+    lease = format_seconds(plan.LEASE_SECONDS)
     body = [
         [
             "the regions that have a majority of the voters between them",
@@ -649,14 +651,22 @@
     cores = None if statement_time is None else statement_time * plan.STATEMENTS_PER_ROUTER
     max_rate = None if statement_time is None else 1.0 / statement_time
     body = [
-        ["one statement, processor time on sockets", format_figure(statement_time, Unit.SECONDS), How.REAL],
+        [
+            "one statement, processor time on sockets",
+            format_figure(statement_time, Unit.SECONDS),
+            FigureSource.REAL,
+        ],
         [
             "statements a second that one process takes at the most",
             format_figure(max_rate, Unit.COUNT),
-            How.CALCULATED,
+            FigureSource.CALCULATED,
         ],
         ["statements a second and router, planned", f"{plan.STATEMENTS_PER_ROUTER:,.0f}", "plan"],
-        ["cores that a router needs for them", MISSING if cores is None else f"{cores:.2f}", How.CALCULATED],
+        [
+            "cores that a router needs for them",
+            MISSING if cores is None else f"{cores:.2f}",
+            FigureSource.CALCULATED,
+        ],
         ["client connections a router", f"{plan.CLIENTS_PER_ROUTER:,.0f}", "plan"],
         ["changes to the list a second, at the most", f"{LIST_CHANGES_A_SECOND:.2f}", "plan"],
     ]
--- a/banklift/rig/capacity_plan.py
+++ b/banklift/rig/capacity_plan.py
@@ -44,7 +44,7 @@
 
 # ---- computed from the above
 
-CHANGES_A_SECOND = CONFIGURATION_CHANGES / DAY
+CHANGES_PER_SECOND = CONFIGURATION_CHANGES / DAY
 EVENTS_A_DAY = MACHINE_FAILURES + ROUTER_RESTARTS  # times that a router goes away and comes back
 CLIENTS_PER_ROUTER = CLIENT_CONNECTIONS / ROUTERS
 STATEMENTS_PER_ROUTER = STATEMENTS / ROUTERS  # a second
@@ -53,14 +53,14 @@
 
 # ---- what is measured
 
-SIZES = (40, 200, 1_000, 6_200)  # lease holders of one grantor
-FLEET_SIZES = (200, 1_000, 3_000, 6_200)  # routers of a hollow fleet
-LIST_SIZES = (100, 500, 2_000, 8_400)  # members in a list
+HOLDER_COUNTS = (40, 200, 1_000, 6_200)  # lease holders of one grantor
+ROUTER_COUNTS = (200, 1_000, 3_000, 6_200)  # routers of a hollow fleet
+MEMBER_COUNTS = (100, 500, 2_000, 8_400)  # members in a list
 # bytes of a policy; the last one is the limit, less a margin for its frame
-POLICY_SIZES = (4 * 1024, 16 * 1024, 64 * 1024, 256 * 1024 - 512)
+POLICY_SIZES_BYTES = (4 * 1024, 16 * 1024, 64 * 1024, 256 * 1024 - 512)
 SAVES_PER_CHANGE = 6  # writes to disk by a voter: a promise and an acceptance in each of 3 steps
-POLICY_USUAL = 4 * 1024  # bytes of a policy in the measured fleets
+USUAL_POLICY_BYTES = 4 * 1024  # bytes of a policy in the measured fleets
 
 # ---- settings of the planned fleet
 
-LEASE, SUB_LEASE = 3.5, 2.3  # seconds; docs/CAPACITY.md gives the reasons
+LEASE_SECONDS, SUB_LEASE_SECONDS = 3.5, 2.3  # seconds; docs/CAPACITY.md gives the reasons
--- a/banklift/rig/capacity_real.py
+++ b/banklift/rig/capacity_real.py
@@ -25,14 +25,14 @@
 from banklift.net.sockets import SocketEnv
 from banklift.rig import capacity_plan as plan
 from banklift.rig import site
-from banklift.rig.capacity_results import RealRouter
+from banklift.rig.capacity_results import IdleRouters
 from banklift.rig.hollow_fleet import free_addresses
 
 FLEET_NAME, ZONE = "real", "zone"
 VOTERS, AGGREGATORS = 3, 2  # processes
 START_TIMEOUT = 90.0  # seconds until all processes listen
 PARALLEL_STARTS = 16  # processes that start at the same time, at the most
-SETTLE_TIME = 1.5 * plan.LEASE  # seconds until every router holds a lease and renewals are spread out
+SETTLE_TIME = 1.5 * plan.LEASE_SECONDS  # seconds until every router holds a lease and renewals are spread out
 TICKS_A_SECOND = os.sysconf("SC_CLK_TCK")  # unit of processor time in /proc
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")  # unit of memory in /proc
 
@@ -79,8 +79,8 @@
         table: dict[str, Any] = {
             "name": FLEET_NAME,
             "voters": self.voters,
-            "lease": plan.LEASE,
-            "sub_lease": plan.SUB_LEASE,
+            "lease": plan.LEASE_SECONDS,
+            "sub_lease": plan.SUB_LEASE_SECONDS,
             "folder": f"{name}.state",
             "zone": ZONE,
             "aggregators": {
@@ -161,7 +161,7 @@
             tasks.cancel_scope.cancel()
 
 
-async def real_rest(fleet: RealFleet, routers: int, seconds: float) -> RealRouter:
+async def measure_idle_routers(fleet: RealFleet, routers: int, seconds: float) -> IdleRouters:
     """Start routers until there are so many, then measure them for so many seconds without requests.
 
     Errors: as `RealFleet.start` and `RealFleet.usage`.
@@ -173,7 +173,7 @@
     first, begin = fleet.usage(), time.monotonic()
     await anyio.sleep(seconds)
     last, elapsed = fleet.usage(), time.monotonic() - begin
-    return RealRouter(
+    return IdleRouters(
         len(names),
         VOTERS,
         elapsed,
--- a/banklift/rig/capacity_results.py
+++ b/banklift/rig/capacity_results.py
@@ -19,7 +19,7 @@
 FORMAT = 1  # version of the file's format
 
 
-class How(StrEnum):
+class FigureSource(StrEnum):
     """How a figure was obtained."""
 
     ISOLATED = "measured alone"  # the measured code alone in one process, without sockets
@@ -31,10 +31,10 @@
 class Victim(StrEnum):
     """What a fault ends at a random time, by SIGKILL unless the value names SIGTERM."""
 
-    NOBODY = ""
+    NONE = ""
     ROUTER = "a router"
-    ROUTERS = "five routers"
-    LEAVING = "five routers by SIGTERM"
+    FIVE_ROUTERS = "five routers"
+    FIVE_ROUTERS_BY_SIGTERM = "five routers by SIGTERM"
     AGGREGATOR = "an aggregator"
 
 
@@ -58,7 +58,7 @@
     what: str  # which cost it is, in words
     unit: str  # of the cost
     against: str  # what the sizes count, in words
-    how: How
+    how: FigureSource
     points: tuple[tuple[float, float], ...]  # size and cost
     form: str  # a `GrowthForm`
     base: float
@@ -81,7 +81,7 @@
     messages: float  # sent a second, for each member
 
 
-class Rest(msgspec.Struct, frozen=True):
+class IdleFleet(msgspec.Struct, frozen=True):
     """A hollow fleet at rest: all members run, and no change is under way."""
 
     routers: int  # without the voters
@@ -98,7 +98,7 @@
     refusing: int  # lapses: times that a router had no lease after its first one
 
 
-class Changes(msgspec.Struct, frozen=True):
+class ChangeSeries(msgspec.Struct, frozen=True):
     """A series of changes of policy in a hollow fleet, each with the same kind of fault or none."""
 
     routers: int  # without the voters
@@ -121,7 +121,7 @@
     refusing_mean: float  # seconds that a router had no lease, on average for one change
 
 
-class Death(msgspec.Struct, frozen=True):
+class AggregatorKills(msgspec.Struct, frozen=True):
     """Aggregators of a hollow fleet at rest that were killed, one after the other."""
 
     routers: int  # without the voters
@@ -132,7 +132,7 @@
     refusing_most: float  # seconds of the longest lapse
 
 
-class RealRouter(msgspec.Struct, frozen=True):
+class IdleRouters(msgspec.Struct, frozen=True):
     """Processes of `banklift router` at rest. The averages are over the routers that are no voters."""
 
     processes: int  # without the voters
@@ -150,10 +150,10 @@
     machines: dict[str, Machine] = {}  # by part of the benchmark
     slopes: tuple[Slope, ...] = ()
     before: tuple[Slope, ...] = ()  # of an older version, whose lease table scanned all holders
-    rests: tuple[Rest, ...] = ()
-    changes: tuple[Changes, ...] = ()
-    deaths: tuple[Death, ...] = ()
-    real: tuple[RealRouter, ...] = ()
+    rests: tuple[IdleFleet, ...] = ()
+    changes: tuple[ChangeSeries, ...] = ()
+    deaths: tuple[AggregatorKills, ...] = ()
+    real: tuple[IdleRouters, ...] = ()
     notes: tuple[str, ...] = ()  # what a run could not measure, and why
 
     def slope(self, key: str) -> Slope | None:
@@ -161,13 +161,13 @@
         return next((slope for slope in self.slopes if slope.key == key), None)
 
 
-def fitted(
+def fit_slope(
     key: str,
     role: str,
     what: str,
     unit: str,
     against: str,
-    how: How,
+    how: FigureSource,
     points: Sequence[tuple[float, float]],
     size: float,
 ) -> Slope:
@@ -201,7 +201,7 @@
     return os.getloadavg()[0]
 
 
-def machine(commit: str, load_before: float) -> Machine:
+def describe_machine(commit: str, load_before: float) -> Machine:
     """This machine, once the part that was measured has ended. `load_before`: `load_average` at its start."""
     memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
     return Machine(
@@ -215,11 +215,11 @@
     )
 
 
-def read(path: Path) -> Results:
+def read_results(path: Path) -> Results:
     """Read a file of results. Errors: `OSError`, `msgspec.DecodeError`."""
     return msgspec.json.decode(path.read_bytes(), type=Results)
 
 
-def write(path: Path, results: Results) -> None:
+def write_results(path: Path, results: Results) -> None:
     """Write a file of results. Errors: `OSError`."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(results), indent=1) + b"\n")
--- a/banklift/rig/capacity_trials.py
+++ b/banklift/rig/capacity_trials.py
@@ -1,8 +1,8 @@
 """Trials on a hollow fleet that runs: the fleet without changes, changes with and without faults, and the failure of
 aggregators.
 
-Each trial returns a struct of capacity_results.py. Errors of all trials: `TimeoutError` and `Broken` of the fleet, and
-`Unreachable` if no voter answers an operator.
+Each trial returns a struct of capacity_results.py. Errors of all trials: `TimeoutError` and `HollowFleetFailed` of the
+fleet, and `Unreachable` if no voter answers an operator.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 import anyio
 
-from banklift.rig.capacity_results import Changes, Death, ResourceUsage, Rest, Victim
+from banklift.rig.capacity_results import AggregatorKills, ChangeSeries, IdleFleet, ResourceUsage, Victim
 from banklift.rig.hollow_fleet import ChangeTimes, HollowFleet
 from banklift.rig.hollow_messages import Figures, Kind
 
@@ -26,7 +26,7 @@
 AGGREGATOR_BACK_LEASES = 0.5  # leases from its start to the report
 
 
-async def rest(fleet: HollowFleet, seconds: float, start: float) -> Rest:
+async def measure_idle_fleet(fleet: HollowFleet, seconds: float, start: float) -> IdleFleet:
     """Measure a fleet for so many seconds without changes or faults. `start`: seconds that its start took."""
     shape = fleet.shape
     await anyio.sleep(SETTLE_LEASES * shape.lease)
@@ -34,7 +34,7 @@
     await anyio.sleep(seconds)
     after = await fleet.figures()
     usage = usage_by_kind(fleet, before, after)
-    return Rest(
+    return IdleFleet(
         shape.routers,
         shape.voters,
         shape.aggregators,
@@ -91,9 +91,9 @@
     )
 
 
-async def changes(
+async def run_changes(
     fleet: HollowFleet, victim: Victim, count: int, rate: float, seed: int, seconds: float = math.inf
-) -> Changes:
+) -> ChangeSeries:
     """Change the policy up to `count` times, each with the fault that `victim` names.
 
     `rate`: changes that begin a second, at the most; 0: each begins as soon as the one before has ended. None begins
@@ -119,7 +119,7 @@
         for name, figures in after.items()
     )
     in_force = [times for times in finished if times.everywhere_seconds < math.inf]
-    return Changes(
+    return ChangeSeries(
         shape.routers,
         shape.voters,
         shape.aggregators,
@@ -150,7 +150,7 @@
 
 async def _change_with_fault(fleet: HollowFleet, victim: Victim, random: Random) -> ChangeTimes:
     """One change with one fault at a random time around its proposal; the victim runs again afterwards."""
-    if victim is Victim.NOBODY:
+    if victim is Victim.NONE:
         return await fleet.change(CHANGE_TIMEOUT)
     kill, restore = _fault(fleet, victim, random)
     # seconds after the proposal; negative: before it
@@ -177,7 +177,7 @@
         name = random.choice(list(fleet.aggregators))
         return lambda: fleet.kill_process(name), lambda: fleet.start_process(name)
     names = random.sample(fleet.routers, 1 if victim is Victim.ROUTER else ROUTERS_KILLED)
-    if victim is Victim.LEAVING:
+    if victim is Victim.FIVE_ROUTERS_BY_SIGTERM:
         return lambda: fleet.leave_routers(names), lambda: fleet.start_routers(names)
     return lambda: fleet.kill_routers(names), lambda: fleet.start_routers(names)
 
@@ -191,7 +191,7 @@
         fleet.epoch = newest
 
 
-async def death(fleet: HollowFleet, trials: int, seed: int) -> Death:
+async def kill_aggregators(fleet: HollowFleet, trials: int, seed: int) -> AggregatorKills:
     """Kill so many aggregators, one after the other, while no change is under way, and count lapses of routers' leases.
 
     Each one starts again before the next is killed. `seed` is of their choice.
@@ -208,4 +208,4 @@
         after = await fleet.figures()
         lapses += sum(after[other].lapses - before[other].lapses for other in after if other != name)
         longest = max(longest, max(figures.longest for figures in after.values()))
-    return Death(shape.routers, shape.aggregators, trials, moved, lapses, longest)
+    return AggregatorKills(shape.routers, shape.aggregators, trials, moved, lapses, longest)
--- a/banklift/rig/hollow.py
+++ b/banklift/rig/hollow.py
@@ -62,7 +62,7 @@
 UNLOGGED_EVENTS = ("policy in force", "policy checked", "state read", "votes")  # every member has them
 
 
-def grant_descriptors() -> None:
+def raise_descriptor_limit() -> None:
     """Raise this process's limit of open descriptors to its hard limit."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
@@ -350,7 +350,7 @@
     )
     parser.add_argument("--spec", type=Path, required=True)
     given = parser.parse_args()
-    grant_descriptors()
+    raise_descriptor_limit()
     spec = msgspec.json.decode(given.spec.read_bytes(), type=Spec)
     anyio.run(run, spec, backend_options={"use_uvloop": True})
 
--- a/banklift/rig/hollow_fleet.py
+++ b/banklift/rig/hollow_fleet.py
@@ -49,12 +49,12 @@
 SHOW_TIMEOUT_SECONDS = 10.0  # until a voter has answered an operator
 
 
-class Broken(Exception):
+class HollowFleetFailed(Exception):
     """A process ended by itself, or the fleet turned a member away; the text says which one and why."""
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
+class FleetShape:
     """Size and settings of a hollow fleet."""
 
     routers: int  # without the voters, which are routers as well
@@ -100,14 +100,14 @@
     """The processes of a hollow fleet, with methods that start them, change the policy and cause faults.
 
     Made by `hollow_fleet`. Specs, logs and the voters' states are files in `folder`; `tasks` runs the readers of the
-    processes' reports. Errors of every method that waits: `TimeoutError`, `Broken`.
+    processes' reports. Errors of every method that waits: `TimeoutError`, `HollowFleetFailed`.
     """
 
-    def __init__(self, shape: Shape, folder: Path, tasks: TaskGroup) -> None:
+    def __init__(self, shape: FleetShape, folder: Path, tasks: TaskGroup) -> None:
         self.shape = shape
         self.folder = folder
         self.tasks = tasks
-        self.failure = ""  # text of `Broken`, once something has failed
+        self.failure = ""  # text of `HollowFleetFailed`, once something has failed
         self.report_number = 0  # of the last request for figures
         self.epoch = 1  # in force
         self.changes_proposed = 0
@@ -246,12 +246,12 @@
     async def wait_until(self, condition: Callable[[], bool], seconds: float) -> None:
         """Wait until the condition holds; it is evaluated again after each batch of reports.
 
-        Errors: `TimeoutError` after so many seconds; `Broken` if a process or member has failed.
+        Errors: `TimeoutError` after so many seconds; `HollowFleetFailed` if a process or member has failed.
         """
         with anyio.fail_after(seconds):
             while not condition():
                 if self.failure:
-                    raise Broken(self.failure)
+                    raise HollowFleetFailed(self.failure)
                 await self.report_arrived.wait()
 
     async def send(self, host: MemberHost, command: AnyCommand) -> None:
@@ -385,7 +385,7 @@
 
 
 @asynccontextmanager
-async def hollow_fleet(shape: Shape, folder: Path) -> AsyncIterator[HollowFleet]:
+async def hollow_fleet(shape: FleetShape, folder: Path) -> AsyncIterator[HollowFleet]:
     """A fleet that is not started yet; its processes end with the block."""
     async with anyio.create_task_group() as tasks:
         fleet = HollowFleet(shape, folder, tasks)
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -42,28 +42,28 @@
     policy_slopes,
     request_slopes,
     show_slopes,
-    slopes_of_requests,
+    slopes_from_request_costs,
 )
-from banklift.rig.capacity_grantor import RequestCosts, Tier
-from banklift.rig.capacity_real import real_fleet, real_rest
+from banklift.rig.capacity_grantor import GrantorKind, RequestCosts
+from banklift.rig.capacity_real import measure_idle_routers, real_fleet
 from banklift.rig.capacity_results import (
-    Changes,
-    Death,
-    How,
-    RealRouter,
-    Rest,
+    AggregatorKills,
+    ChangeSeries,
+    FigureSource,
+    IdleFleet,
+    IdleRouters,
     Results,
     Slope,
     Victim,
-    fitted,
+    describe_machine,
+    fit_slope,
     load_average,
-    machine,
-    read,
-    write,
+    read_results,
+    write_results,
 )
-from banklift.rig.capacity_trials import changes, death, rest
-from banklift.rig.hollow import grant_descriptors
-from banklift.rig.hollow_fleet import Broken, HollowFleet, Shape, hollow_fleet
+from banklift.rig.capacity_trials import kill_aggregators, measure_idle_fleet, run_changes
+from banklift.rig.hollow import raise_descriptor_limit
+from banklift.rig.hollow_fleet import FleetShape, HollowFleet, HollowFleetFailed, hollow_fleet
 
 ROOT = Path(__file__).resolve().parent.parent
 RESULTS = Path(__file__).with_name("results") / "capacity.json"
@@ -90,12 +90,12 @@
 class Scale:
     """Sizes, numbers of trials and durations of the measurements."""
 
-    holders: tuple[int, ...] = plan.SIZES  # lease holders of one grantor
-    members: tuple[int, ...] = plan.LIST_SIZES  # lengths of lists of members
+    holders: tuple[int, ...] = plan.HOLDER_COUNTS  # lease holders of one grantor
+    members: tuple[int, ...] = plan.MEMBER_COUNTS  # lengths of lists of members
     requests: int = 400  # for each length of such a list
-    policies: tuple[int, ...] = plan.POLICY_SIZES  # bytes
+    policies: tuple[int, ...] = plan.POLICY_SIZES_BYTES  # bytes
     real: tuple[int, ...] = (25, 50, 100, 200)  # router processes
-    fleets: tuple[int, ...] = plan.FLEET_SIZES  # routers of hollow fleets at rest
+    fleets: tuple[int, ...] = plan.ROUTER_COUNTS  # routers of hollow fleets at rest
     direct: tuple[int, ...] = (40, 100, 230, 400)  # routers of fleets without aggregators
     rest_s: float = 8.0  # observation of a fleet at rest
     undisturbed: int = 8  # changes of a series in which nothing is killed
@@ -154,13 +154,13 @@
     def __init__(self, path: Path, scale: Scale, args: argparse.Namespace) -> None:
         self.path, self.scale, self.args = path, scale, args
         self.ends_at: float = time.monotonic() + 60.0 * args.minutes
-        self.results = read(path) if path.exists() else Results()
+        self.results = read_results(path) if path.exists() else Results()
         if args.fresh:
             self.results = Results(before=self.results.before)
 
     def _replace(self, **fields: object) -> None:
         self.results = msgspec.structs.replace(self.results, **fields)
-        write(self.path, self.results)
+        write_results(self.path, self.results)
 
     def run_part(self, name: str) -> None:
         """Measure a part by its name, replacing the notes that an earlier run left about it."""
@@ -168,7 +168,7 @@
         load = load_average()
         self._replace(notes=tuple(note for note in self.results.notes if not note.startswith(f"{name}:")))
         getattr(self, name)()
-        self._replace(machines={**self.results.machines, name: machine(commit(), load)})
+        self._replace(machines={**self.results.machines, name: describe_machine(commit(), load)})
 
     def add_slopes(self, slopes: list[Slope]) -> None:
         """Add slopes to the results, replacing earlier ones with the same keys, and print them."""
@@ -180,14 +180,14 @@
                 f"{slope.value:.3g} {slope.unit} at {slope.size:,.0f} {slope.against}"
             )
 
-    def add(self, field: str, result: Rest | Changes | Death | RealRouter) -> None:
+    def add(self, field: str, result: IdleFleet | ChangeSeries | AggregatorKills | IdleRouters) -> None:
         """Add a result to the field of that name and print it. For a fleet at rest it replaces an earlier one."""
         kept = [old for old in getattr(self.results, field) if not self._is_same_fleet_at_rest(old, result)]
         self._replace(**{field: (*kept, result)})
         print(f"  {result}", flush=True)
 
     def _is_same_fleet_at_rest(self, old: object, new: object) -> bool:
-        if not isinstance(old, Rest) or not isinstance(new, Rest):
+        if not isinstance(old, IdleFleet) or not isinstance(new, IdleFleet):
             return False
         return (old.routers, old.voters, old.aggregators) == (new.routers, new.voters, new.aggregators)
 
@@ -201,7 +201,7 @@
     def alone(self) -> None:
         """Measure the control code in this process."""
         scale = self.scale
-        for tier in Tier:
+        for tier in GrantorKind:
             self.add_slopes(request_slopes(tier, scale.holders))
         self.add_slopes(show_slopes(scale.holders))
         self.add_slopes(member_slopes(scale.members, scale.requests))
@@ -210,7 +210,7 @@
     def before(self, path: Path) -> None:
         """Add the costs of an older version from a JSON file, for comparison."""
         costs = msgspec.json.decode(path.read_bytes(), type=list[RequestCosts])
-        self._replace(before=tuple(slopes_of_requests(Tier.VOTER, costs)))
+        self._replace(before=tuple(slopes_from_request_costs(GrantorKind.VOTER, costs)))
 
     # ---- real routers
 
@@ -222,29 +222,33 @@
             with tempfile.TemporaryDirectory() as folder:
                 async with real_fleet(Path(folder)) as fleet:
                     for size in sizes_that_fit(self.scale.real):
-                        self.add("real", await real_rest(fleet, size, self.scale.rest_s))
+                        self.add("real", await measure_idle_routers(fleet, size, self.scale.rest_s))
 
         anyio.run(measure)
         results = self.results.real
         points = [(float(result.processes), result.core) for result in results]
         if len(points) > 1:
             self.add_slopes(
-                [slope_by_routers("real.core", "router", "real router at rest", "core", How.REAL, points)]
+                [
+                    slope_by_routers(
+                        "real.core", "router", "real router at rest", "core", FigureSource.REAL, points
+                    )
+                ]
             )
 
     # ---- hollow fleets
 
-    def shape(self, fleet: TrialFleet) -> Shape:
+    def shape(self, fleet: TrialFleet) -> FleetShape:
         """The hollow fleet of that size, with the leases and processes of the command line."""
         args = self.args
-        return Shape(
+        return FleetShape(
             fleet.routers,
             self.scale.voters,
             fleet.aggregators,
             args.lease,
             args.sub_lease,
             fleet.zones,
-            plan.POLICY_USUAL,
+            plan.USUAL_POLICY_BYTES,
             args.per_process,
         )
 
@@ -254,7 +258,7 @@
         return [fleet for fleet in self.scale.trials if not sizes or fleet.routers in sizes]
 
     def run_fleet(
-        self, part: str, shape: Shape, measure: Callable[[HollowFleet, float], Awaitable[None]]
+        self, part: str, shape: FleetShape, measure: Callable[[HollowFleet, float], Awaitable[None]]
     ) -> None:
         """Start a hollow fleet and call `measure` with it and the seconds that its start took.
 
@@ -271,7 +275,7 @@
         try:
             if anyio.run(run):
                 reason = "the time of the run was over"
-        except* (Broken, Unreachable, TimeoutError, OSError) as group:
+        except* (HollowFleetFailed, Unreachable, TimeoutError, OSError) as group:
             reason = "; ".join(f"{type(error).__name__} {error}".strip()[:200] for error in flatten(group))
         if reason:
             note = f"{part}: {shape.routers} routers, {shape.aggregators} aggregators: cut short: {reason}"
@@ -286,7 +290,7 @@
         """Measure hollow fleets with aggregators at rest."""
 
         async def measure(fleet: HollowFleet, start: float) -> None:
-            self.add("rests", await rest(fleet, self.scale.rest_s, start))
+            self.add("rests", await measure_idle_fleet(fleet, self.scale.rest_s, start))
 
         largest = self.scale.trials[-1]
         for routers in self.scale.fleets:
@@ -300,9 +304,9 @@
         self.drop_direct("changes")
 
         async def measure(fleet: HollowFleet, start: float) -> None:
-            self.add("rests", await rest(fleet, self.scale.rest_s, start))
-            for victim in (Victim.NOBODY, Victim.ROUTER):
-                self.add("changes", await changes(fleet, victim, self.scale.direct_changes, 0.0, 1))
+            self.add("rests", await measure_idle_fleet(fleet, self.scale.rest_s, start))
+            for victim in (Victim.NONE, Victim.ROUTER):
+                self.add("changes", await run_changes(fleet, victim, self.scale.direct_changes, 0.0, 1))
 
         for routers in self.scale.direct:
             shape = replace(self.shape(TrialFleet(routers, 0, 1)), sub_lease=0.0)
@@ -322,20 +326,25 @@
             self._replace(**{field: kept})
 
         async def series(fleet: HollowFleet, victim: Victim, count: int) -> None:
-            self.add("changes", await changes(fleet, victim, count, 0.0, 2, scale.series_s))
+            self.add("changes", await run_changes(fleet, victim, count, 0.0, 2, scale.series_s))
 
         async def measure(fleet: HollowFleet, start: float) -> None:
-            self.add("rests", await rest(fleet, scale.rest_s, start))
-            await series(fleet, Victim.NOBODY, scale.undisturbed)
-            self.add("deaths", await death(fleet, scale.aggregator_deaths, 1))
-            for victim in (Victim.ROUTER, Victim.ROUTERS, Victim.AGGREGATOR, Victim.LEAVING):
+            self.add("rests", await measure_idle_fleet(fleet, scale.rest_s, start))
+            await series(fleet, Victim.NONE, scale.undisturbed)
+            self.add("deaths", await kill_aggregators(fleet, scale.aggregator_deaths, 1))
+            for victim in (
+                Victim.ROUTER,
+                Victim.FIVE_ROUTERS,
+                Victim.AGGREGATOR,
+                Victim.FIVE_ROUTERS_BY_SIGTERM,
+            ):
                 await series(fleet, victim, scale.disturbed)
-            rate = plan.CHANGES_A_SECOND
+            rate = plan.CHANGES_PER_SECOND
             count = max(2, int(scale.rate_s * rate))
-            self.add("changes", await changes(fleet, Victim.NOBODY, count, rate, 3, 1.5 * scale.rate_s))
+            self.add("changes", await run_changes(fleet, Victim.NONE, count, rate, 3, 1.5 * scale.rate_s))
             self.add(
                 "changes",
-                await changes(fleet, Victim.NOBODY, 1000, FASTEST_CHANGES_PER_S, 4, scale.fastest_s),
+                await run_changes(fleet, Victim.NONE, 1000, FASTEST_CHANGES_PER_S, 4, scale.fastest_s),
             )
 
         for trial in self.selected_trials():
@@ -355,13 +364,13 @@
         points = [(float(number + 1), cost) for number, cost in enumerate(costs)]
         self.add_slopes(
             [
-                fitted(
+                fit_slope(
                     "data.statement",
                     "router",
                     "one statement on sockets",
                     "s",
                     "quarters of the run",
-                    How.REAL,
+                    FigureSource.REAL,
                     points,
                     len(points),
                 )
@@ -374,10 +383,10 @@
 
 
 def slope_by_routers(
-    key: str, role: str, what: str, unit: str, how: How, points: list[tuple[float, float]]
+    key: str, role: str, what: str, unit: str, how: FigureSource, points: list[tuple[float, float]]
 ) -> Slope:
     """A slope against the number of routers, up to the planned number. Errors: `ValueError` below two points."""
-    return fitted(key, role, what, unit, "routers", how, points, plan.ROUTERS)
+    return fit_slope(key, role, what, unit, "routers", how, points, plan.ROUTERS)
 
 
 def rest_slopes(results: Results, tiered: bool) -> list[Slope]:
@@ -408,18 +417,25 @@
         memory = [(size, share.memory) for size, share in shares]
         what = f"at rest, routers lease from {grantors}"
         slopes += [
-            slope_by_routers(f"{tier}.{role}.core", role, what, "core", How.HOLLOW, core),
+            slope_by_routers(f"{tier}.{role}.core", role, what, "core", FigureSource.HOLLOW, core),
             slope_by_routers(
-                f"{tier}.{role}.traffic", role, f"sent and received {what}", "bytes/s", How.HOLLOW, traffic
+                f"{tier}.{role}.traffic",
+                role,
+                f"sent and received {what}",
+                "bytes/s",
+                FigureSource.HOLLOW,
+                traffic,
+            ),
+            slope_by_routers(
+                f"{tier}.{role}.memory", role, f"memory {what}", "bytes", FigureSource.HOLLOW, memory
             ),
-            slope_by_routers(f"{tier}.{role}.memory", role, f"memory {what}", "bytes", How.HOLLOW, memory),
         ]
     return slopes
 
 
 def sizes_that_fit(sizes: tuple[int, ...]) -> list[int]:
     """Numbers of router processes, reduced where needed to as many as fit into `MAX_MEMORY_FRACTION` of memory."""
-    largest = int(MAX_MEMORY_FRACTION * machine("", 0.0).memory / REAL_ROUTER_BYTES)
+    largest = int(MAX_MEMORY_FRACTION * describe_machine("", 0.0).memory / REAL_ROUTER_BYTES)
     return sorted({min(size, largest) for size in sizes})
 
 
@@ -439,19 +455,19 @@
     parser.add_argument(
         "--minutes", type=float, default=60.0, help="time after which hollow fleets are cut short"
     )
-    parser.add_argument("--lease", type=float, default=plan.LEASE)
-    parser.add_argument("--sub-lease", type=float, default=plan.SUB_LEASE)
+    parser.add_argument("--lease", type=float, default=plan.LEASE_SECONDS)
+    parser.add_argument("--sub-lease", type=float, default=plan.SUB_LEASE_SECONDS)
     parser.add_argument("--routers", type=int, nargs="+", help="only these fleets of the part aims, by size")
     parser.add_argument("--per-process", type=int, default=500, help="hollow routers in one process")
     args = parser.parse_args()
-    grant_descriptors()
+    raise_descriptor_limit()
     run = Run(args.out, SMALL if args.small else Scale(), args)
     for part in args.parts:
         run.run_part(part)
     if args.before is not None:
         run.before(args.before)
     if args.page:
-        PAGE.write_text(capacity_page.filled(PAGE.read_text(), run.results))
+        PAGE.write_text(capacity_page.fill_tables(PAGE.read_text(), run.results))
 
 
 if __name__ == "__main__":
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -13,8 +13,8 @@
 
 from banklift.rig import capacity_plan as plan
 from banklift.rig.capacity_needs import needs, percentile
-from banklift.rig.capacity_page import TABLES, UnknownTable, filled
-from banklift.rig.capacity_results import How, Results, fitted, read
+from banklift.rig.capacity_page import TABLES, UnknownTable, fill_tables
+from banklift.rig.capacity_results import FigureSource, Results, fit_slope, read_results
 from banklift.rig.slopes import GrowthForm, Point, fit_form, growth_term, simplest_fit
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -101,7 +101,7 @@
 def test_page_holds_the_tables_generated_from_the_results() -> None:
     """The tables are never edited by hand: `benchmarks/capacity.py --page` writes them."""
     page = PAGE.read_text()
-    assert filled(page, read(RESULTS)) == page
+    assert fill_tables(page, read_results(RESULTS)) == page
 
 
 def test_each_table_has_one_place_on_the_page() -> None:
@@ -112,7 +112,7 @@
 
 def test_place_of_an_unknown_table_is_an_error() -> None:
     with pytest.raises(UnknownTable, match="nothing-of-this"):
-        filled("<!-- table: nothing-of-this -->\n<!-- end of table -->", Results())
+        fill_tables("<!-- table: nothing-of-this -->\n<!-- end of table -->", Results())
 
 
 def test_tables_of_empty_results_say_not_measured() -> None:
@@ -124,14 +124,16 @@
 
 
 def test_needs_are_sorted_by_ratio_with_the_largest_first() -> None:
-    slope = fitted("members.delta", "router", "delta", "s", "members", How.ISOLATED, [(1, 1.0), (2, 1.0)], 2)
+    slope = fit_slope(
+        "members.delta", "router", "delta", "s", "members", FigureSource.ISOLATED, [(1, 1.0), (2, 1.0)], 2
+    )
     ratios = [need.ratio for need in needs(Results(slopes=(slope,))) if need.ratio is not None]
     assert ratios == sorted(ratios, reverse=True)
     assert ratios[0] > 1
 
 
 def test_planned_rates_are_computed_from_the_planned_counts() -> None:
-    assert pytest.approx(0.347, abs=0.001) == plan.CHANGES_A_SECOND
+    assert pytest.approx(0.347, abs=0.001) == plan.CHANGES_PER_SECOND
     assert plan.MEMBER_CONNECTIONS == 52_080_000
     assert pytest.approx(2097, abs=1) == plan.STATEMENTS_PER_ROUTER
     assert pytest.approx(3065, abs=1) == plan.CLIENTS_PER_ROUTER
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -15,16 +15,16 @@
 
 from banklift.fleet.state import Result
 from banklift.rig.capacity_results import Victim
-from banklift.rig.capacity_trials import changes, death, rest
-from banklift.rig.hollow_fleet import HollowFleet, Shape, hollow_fleet
+from banklift.rig.capacity_trials import kill_aggregators, measure_idle_fleet, run_changes
+from banklift.rig.hollow_fleet import FleetShape, HollowFleet, hollow_fleet
 
 CHANGE_TIMEOUT = 60.0  # seconds, enough on a busy machine
-DIRECT = Shape(routers=20, voters=3, lease=4.0, per_process=10)
-TIERED = Shape(routers=20, voters=3, aggregators=2, lease=4.0, sub_lease=2.6, per_process=10)
+DIRECT = FleetShape(routers=20, voters=3, lease=4.0, per_process=10)
+TIERED = FleetShape(routers=20, voters=3, aggregators=2, lease=4.0, sub_lease=2.6, per_process=10)
 
 
 @asynccontextmanager
-async def started_fleet(shape: Shape, folder: Path) -> AsyncIterator[HollowFleet]:
+async def started_fleet(shape: FleetShape, folder: Path) -> AsyncIterator[HollowFleet]:
     """A fleet all of whose members serve."""
     async with hollow_fleet(shape, folder) as fleet:
         await fleet.start()
@@ -108,17 +108,17 @@
 def test_trials_report_the_fleet_its_usage_and_the_changes(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with started_fleet(TIERED, tmp_path) as fleet:
-            idle = await rest(fleet, 0.5, 1.0)
+            idle = await measure_idle_fleet(fleet, 0.5, 1.0)
             assert (idle.routers, idle.voters, idle.aggregators) == (20, 3, 2)
             assert idle.router.processes == 2 and idle.router.members == 20
             assert idle.aggregator is not None and idle.aggregator.messages > 0
-            series = await changes(fleet, Victim.ROUTERS, 2, 0.0, seed=1)
+            series = await run_changes(fleet, Victim.FIVE_ROUTERS, 2, 0.0, seed=1)
             assert series.kill == "five routers" and len(series.times) + series.failed == 2
             assert all(
                 confirmed <= everywhere
                 for confirmed, everywhere in zip(series.told, series.times, strict=True)
             )
-            kills = await death(fleet, 1, seed=1)
+            kills = await kill_aggregators(fleet, 1, seed=1)
             assert kills.trials == 1 and 0 < kills.moved <= 20
 
     anyio.run(scenario)
