--- a/banklift/cli/main.py
+++ b/banklift/cli/main.py
@@ -28,12 +28,10 @@
     load_router,
 )
 from banklift.emulator.stand import RouterProcesses, Stand
-from banklift.judge.day import load_day
-from banklift.judge.day import play as play_day
+from banklift.judge.day import load_day, play_on_sockets
 from banklift.judge.rules import judge as judge_trace
-from banklift.judge.show import show
-from banklift.judge.trace import TraceError
-from banklift.judge.trace import read as read_trace
+from banklift.judge.show import print_verdict
+from banklift.judge.trace import TraceError, read_trace
 from banklift.net import aggregator as aggregator_process
 from banklift.net import daemon
 from banklift.net.process import MembershipRefused, stop_signals
@@ -175,7 +173,7 @@
         console.print(f"{elapsed_s:6.2f} s  {text}", highlight=False)
 
     try:
-        run(play_day, script, config, routers, seed, trace, progress)
+        run(play_on_sockets, script, config, routers, seed, trace, progress)
     except* (OSError, RuntimeError) as group:
         typer.echo(f"banklift play: {group.exceptions[0]}", err=True)
         raise typer.Exit(FAILED) from None
@@ -196,8 +194,8 @@
         typer.echo(str(error), err=True)
         return BAD_FILE
     verdict = judge_trace(head, entries)
-    show(verdict, trace)
-    return 1 if verdict.breaks else 0
+    print_verdict(verdict, trace)
+    return 1 if verdict.violations else 0
 
 
 async def _stand(config: Config, routers: int, port: int) -> None:
--- a/banklift/judge/day.py
+++ b/banklift/judge/day.py
@@ -33,7 +33,7 @@
 from banklift.resp.commands import Kind, lookup
 from banklift.resp.replies import status
 
-DAYS = Path(__file__).with_name("days")
+DAYS_FOLDER = Path(__file__).with_name("days")
 ROSTER_READ_S = 0.5  # longest time until a router has read a new roster file
 POLL_INTERVAL_S = 0.05  # between checks of the primaries, and between checks whether a day on sockets is over
 HEAVY_TAIL_SHARE = 0.03  # share of requests that the order "tail" makes slow
@@ -148,15 +148,15 @@
 
 
 def load_day(name: str) -> tuple[Day, Config]:
-    """The day of this name in `DAYS`, or of a file with a suffix, and the operator's configuration it is played with.
+    """The day of this name in `DAYS_FOLDER`, or of a file with a suffix, and the operator's configuration for it.
 
     Errors: `ConfigError` with the path of the file and the place in it.
     """
     path = Path(name)
     if not path.suffix:
-        path = DAYS / f"{name}.jsonnet"
+        path = DAYS_FOLDER / f"{name}.jsonnet"
         if not path.exists():
-            names = ", ".join(sorted(day.stem for day in DAYS.glob("*.jsonnet")))
+            names = ", ".join(sorted(day.stem for day in DAYS_FOLDER.glob("*.jsonnet")))
             raise ConfigError(f"no day is named {name!r}; there are: {names}")
     try:
         day = msgspec.json.decode(evaluate(path), type=Day)
@@ -635,7 +635,7 @@
     )
 
 
-async def play(
+async def play_on_sockets(
     day: Day, config: Config, routers: int, seed: int, trace: Path, progress: Callable[[float, str], None]
 ) -> None:
     """Play a day on sockets, with routers as processes, and write its trace to a file.
--- a/banklift/judge/reads.py
+++ b/banklift/judge/reads.py
@@ -124,7 +124,7 @@
                 for key in client_try.request.keys
                 for value in self.permitted_values(key, likely_source)
             }
-            tally.shown += values != {""}
+            tally.reads_with_value += values != {""}
             if source is None:
                 self._add_violation(
                     f"{class_name} shows what its keys did not hold at {likely_source.member}", answer, rid
@@ -133,7 +133,7 @@
                 self._check_staleness(client_try, source, answer, tally)
 
     def _add_violation(self, reason: str, answer: Entry, rid: str) -> None:
-        self.verdict.breaks.append(Violation(5, reason, answer.t - self.head.start, rid))
+        self.verdict.violations.append(Violation(5, reason, answer.t - self.head.start, rid))
 
     def _least_positions(self, client_try: ClientTry, reply: Entry, group: str) -> list[LogPosition]:
         """The positions that the read may not be behind, as far as the history current at its reply holds them."""
@@ -170,7 +170,7 @@
         served_position = LogPosition(reply.line, reply.offset)
         request = client_try.request
         positions = self._least_positions(client_try, reply, group)
-        tally.aged += any(
+        tally.reads_of_written_keys += any(
             histories.count_key_commands(key, position.history, 0, position.offset)
             for position in positions
             for key in request.keys
--- a/banklift/judge/rules.py
+++ b/banklift/judge/rules.py
@@ -54,7 +54,7 @@
         if entry.k == "cut":
             closed_at[entry.member, entry.conn] = entry.t
         elif entry.k in ("command", "reply") and entry.rid and client_try is None:
-            verdict.breaks.append(
+            verdict.violations.append(
                 Violation(2, "a member got what no client sent", entry.t - head.start, entry.rid)
             )
         elif client_try is None:
@@ -80,10 +80,10 @@
     for cause, share in EXCUSED_SHARES.items():
         if verdict.excused[cause] > max(ALLOWED_EXCUSES, share * len(tries)):
             rule = 5 if cause is OLD_PRIMARY else 1
-            verdict.breaks.append(
+            verdict.violations.append(
                 Violation(rule, f"{verdict.excused[cause]} excuses are too many: {cause}", 0.0, "")
             )
-    verdict.breaks.sort(key=lambda violation: (violation.rule, violation.at))
+    verdict.violations.sort(key=lambda violation: (violation.rule, violation.at))
     return verdict
 
 
@@ -111,7 +111,7 @@
 
     def add_violation(self, rule: int, reason: str, at: float, rid: str) -> None:
         """Record a violation at time `at` (seconds on the clock of the trace)."""
-        self.verdict.breaks.append(Violation(rule, reason, at - self.head.start, rid))
+        self.verdict.violations.append(Violation(rule, reason, at - self.head.start, rid))
 
     def check_final_answers(self) -> None:
         """Rule 1, one final answer before the deadline; also counts the outcomes of each class."""
--- a/banklift/judge/show.py
+++ b/banklift/judge/show.py
@@ -25,7 +25,7 @@
     return values[min(len(values) - 1, int(share * len(values)))] if values else 0.0
 
 
-def show(verdict: Verdict, trace: Path) -> None:
+def print_verdict(verdict: Verdict, trace: Path) -> None:
     """Print the verdict and the path of its trace; 130 columns wide where standard output is no terminal."""
     console = Console(width=None if sys.stdout.isatty() else 130)
     table = Table("class")
@@ -68,14 +68,15 @@
     for class_name, tally in sorted(verdict.tallies.items()):
         if tally.reads:
             console.print(
-                f"{class_name}: {tally.reads} reads judged, of {tally.shown} a wrong answer would have been seen, "
-                f"of {tally.aged} an old one",
+                f"{class_name}: {tally.reads} reads judged, "
+                f"of {tally.reads_with_value} a wrong answer would have been seen, "
+                f"of {tally.reads_of_written_keys} an old one",
                 highlight=False,
             )
     for name, count in sorted(verdict.excused.items()):
         console.print(f"excused, {name}: {count}", highlight=False)
     for rule, text in RULE_TITLES.items():
-        violations = [violation for violation in verdict.breaks if violation.rule == rule]
+        violations = [violation for violation in verdict.violations if violation.rule == rule]
         console.print(
             f"rule {rule}, {text}: " + (f"BROKEN {len(violations)} times" if violations else "kept"),
             style="bold red" if violations else "green",
--- a/banklift/judge/trace.py
+++ b/banklift/judge/trace.py
@@ -108,7 +108,7 @@
     """A trace file cannot be read; the message names file, line and reason."""
 
 
-def read(path: Path) -> tuple[Head, list[Entry]]:
+def read_trace(path: Path) -> tuple[Head, list[Entry]]:
     """The head and the entries by time. A last line without its end (the writer was killed) is left out.
 
     Errors: `TraceError`.
--- a/banklift/judge/verdict.py
+++ b/banklift/judge/verdict.py
@@ -36,23 +36,23 @@
     latencies: list[float] = field(default_factory=list)  # seconds from request to answer
     reads: int = 0  # served reads that were judged under rule 5
     # judged reads with a key that held a value, so that a wrong answer would have been noticed
-    shown: int = 0
+    reads_with_value: int = 0
     # judged reads with a key written at or before the least permitted position: a stale answer would have been noticed
-    aged: int = 0
+    reads_of_written_keys: int = 0
 
 
 @dataclass(slots=True)
 class Verdict:
     """All violations of a day, and the counts that are printed beside them."""
 
-    breaks: list[Violation] = field(default_factory=list)
+    violations: list[Violation] = field(default_factory=list)
     tallies: dict[str, ClassTally] = field(default_factory=dict)  # by name of the class
     counts: Counter[str] = field(default_factory=Counter)  # by the text that is printed
     excused: Counter[str] = field(default_factory=Counter)  # breaches with a known cause, by that cause
 
     def kept(self, rule: int) -> bool:
         """Whether nothing violates the rule of this number."""
-        return not any(violation.rule == rule for violation in self.breaks)
+        return not any(violation.rule == rule for violation in self.violations)
 
 
 @dataclass(slots=True)
--- a/benchmarks/days.py
+++ b/benchmarks/days.py
@@ -16,10 +16,10 @@
 import anyio
 import msgspec
 
-from banklift.judge.day import DAYS, load_day, play
+from banklift.judge.day import DAYS_FOLDER, load_day, play_on_sockets
 from banklift.judge.rules import judge
 from banklift.judge.symptoms import symptoms
-from banklift.judge.trace import read
+from banklift.judge.trace import read_trace
 from banklift.proxy.plan import Config, Group
 
 
@@ -51,16 +51,23 @@
     parser.add_argument("--out", type=Path, default=Path(__file__).with_name("results") / "days.json")
     args = parser.parse_args()
     rows = []
-    for name in args.days or sorted(path.stem for path in DAYS.glob("*.jsonnet")):
+    for name in args.days or sorted(path.stem for path in DAYS_FOLDER.glob("*.jsonnet")):
         day, config = load_day(name)
         day = msgspec.structs.replace(day, sessions=args.sessions, rate=args.rate, reread=0.9)
         config = three_groups(config)
         with tempfile.TemporaryDirectory() as folder:
             trace = Path(folder) / "trace"
             anyio.run(
-                play, day, config, 4, 1, trace, lambda at, text: None, backend_options={"use_uvloop": True}
+                play_on_sockets,
+                day,
+                config,
+                4,
+                1,
+                trace,
+                lambda at, text: None,
+                backend_options={"use_uvloop": True},
             )
-            head, entries = read(trace)
+            head, entries = read_trace(trace)
         verdict = judge(head, entries)
         seen = symptoms(head, entries)
         tallies = verdict.tallies.values()
@@ -74,13 +81,17 @@
                 "failed": sum(tally.failed for tally in tallies),
                 "left": sum(tally.left for tally in tallies),
                 "reads judged": sum(tally.reads for tally in tallies),
-                "of these a wrong answer would have been seen": sum(tally.shown for tally in tallies),
-                "of these an old answer would have been seen": sum(tally.aged for tally in tallies),
+                "of these a wrong answer would have been seen": sum(
+                    tally.reads_with_value for tally in tallies
+                ),
+                "of these an old answer would have been seen": sum(
+                    tally.reads_of_written_keys for tally in tallies
+                ),
                 **dict(sorted(verdict.counts.items())),
                 "excused": dict(sorted(verdict.excused.items())),
                 "rules broken": [
                     f"{found.rule}: {found.reason} ({found.rid} at {found.at:.3f})"
-                    for found in verdict.breaks[:5]
+                    for found in verdict.violations[:5]
                 ],
                 "symptoms": {
                     symptom: [round(seen.get(symptom, 0), 1), least] for symptom, least in day.shows.items()
--- a/benchmarks/mutate.py
+++ b/benchmarks/mutate.py
@@ -56,9 +56,9 @@
     entries: list[Entry] = []
     head = play_virtual(day, config, routers, seed, entries.append)
     verdict = judge(head, sorted(entries, key=lambda entry: entry.t))
-    for found in verdict.breaks[:3]:
+    for found in verdict.violations[:3]:
         print("rule", found.rule, found.reason)
-    return not verdict.breaks, min(tally.served / tally.tries for tally in verdict.tallies.values())
+    return not verdict.violations, min(tally.served / tally.tries for tally in verdict.tallies.values())
 
 # By day: the minimum share of tries that are served, in each class of requests.
 min_served_shares = {"short": 0.9, "hang": 0.85, "deploy": 0.4, "discovery_stale": 0.9}
--- a/tests/surroundings.py
+++ b/tests/surroundings.py
@@ -12,11 +12,11 @@
 from banklift.net.sockets import SocketEnv
 
 # seconds after which a test stops waiting for its condition; a passing test never waits that long
-PATIENCE = 20.0
+TEST_TIMEOUT_S = 20.0
 
 
-def run(start: Callable[[SocketEnv], Callable[[], bool]], alone: bool = True) -> None:
-    """Call `start` in an event loop, and run until the condition that it returns holds, or `PATIENCE` has passed.
+def run_until(start: Callable[[SocketEnv], Callable[[], bool]], alone: bool = True) -> None:
+    """Call `start` in an event loop, and run until the condition that it returns holds, or `TEST_TIMEOUT_S` has passed.
 
     `alone`: passed on to `SocketEnv`, where it means that nothing else needs the event loop.
     """
@@ -24,7 +24,7 @@
     async def run_in_loop() -> None:
         async with anyio.create_task_group() as tasks:
             env = SocketEnv(tasks, alone=alone)
-            is_done, end = start(env), env.now() + PATIENCE
+            is_done, end = start(env), env.now() + TEST_TIMEOUT_S
 
             def check() -> None:
                 if not is_done() and env.now() < end:
@@ -40,7 +40,7 @@
         portal.call(run_in_loop)
 
 
-def pair(env: SocketEnv, peers: list[Peer], many: int) -> list[socket.socket]:
+def open_connections(env: SocketEnv, peers: list[Peer], many: int) -> list[socket.socket]:
     """Open `many` connections over loopback: returns the callers' ends; each peer of `peers` has an accepted end."""
     listener = env.listen("127.0.0.1:0", lambda: peers.pop(0))
     host, _, port = listener.address.partition(":")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,7 +16,7 @@
 
 from banklift.net.env import Handle, Peer
 from banklift.net.sockets import MOST_LINGERING, SocketEnv
-from tests.surroundings import PATIENCE, pair, run
+from tests.surroundings import TEST_TIMEOUT_S, open_connections, run_until
 from tests.test_service import Platform, platform
 
 __all__ = ["platform"]  # the fixture
@@ -80,7 +80,7 @@
 
     def act(env: SocketEnv) -> Callable[[], bool]:
         first, second = RecordingPeer(), RecordingPeer()
-        callers = pair(env, [first, second], 2)
+        callers = open_connections(env, [first, second], 2)
 
         def swap(handle: Handle) -> None:
             if descriptors:
@@ -107,7 +107,7 @@
 
         return is_done
 
-    run(act, alone)
+    run_until(act, alone)
     listener.close()
     for filler in fillers:
         os.close(filler)
@@ -121,7 +121,7 @@
     peer = RecordingPeer()
 
     def act(env: SocketEnv) -> Callable[[], bool]:
-        (caller,) = pair(env, [peer], 1)
+        (caller,) = open_connections(env, [peer], 1)
         peer.handle.pause()
         if unread:  # it stays in the kernel's receive buffer
             caller.sendall(b"x" * unread)
@@ -130,7 +130,7 @@
         caller.close()
         return lambda: len(peer.notes) > 1
 
-    run(act)
+    run_until(act)
     assert peer.notes == ["up", "lost" if reset else "half closed"]
 
 
@@ -138,7 +138,7 @@
     peer = RecordingPeer()
 
     def act(env: SocketEnv) -> Callable[[], bool]:
-        (caller,) = pair(env, [peer], 1)
+        (caller,) = open_connections(env, [peer], 1)
         peer.handle.pause()
         caller.sendall(b"question")
         caller.shutdown(socket.SHUT_WR)
@@ -150,7 +150,7 @@
 
         return is_done
 
-    run(act)
+    run_until(act)
     assert peer.notes == ["up", "half closed", "data 8", "eof"]
 
 
@@ -160,8 +160,8 @@
     peer = RecordingPeer()
 
     def act(env: SocketEnv) -> Callable[[], bool]:
-        callers.extend(pair(env, [peer], 1))
-        callers[0].settimeout(PATIENCE)
+        callers.extend(open_connections(env, [peer], 1))
+        callers[0].settimeout(TEST_TIMEOUT_S)
 
         def answer(handle: Handle) -> None:
             callers[0].sendall(b"second")
@@ -178,7 +178,7 @@
 
         return is_done
 
-    run(act)
+    run_until(act)
     assert peer.notes == ["up", "data 5"]
     assert callers[0].recv(100) == b"answered"
     with contextlib.suppress(ConnectionResetError):  # shows, as an end does, that the second was not taken
@@ -191,7 +191,7 @@
     peer = RecordingPeer()
 
     def act(env: SocketEnv) -> Callable[[], bool]:
-        callers.extend(pair(env, [peer], 1))
+        callers.extend(open_connections(env, [peer], 1))
 
         def drop(handle: Handle) -> None:
             handle.send(b"withdrawn")
@@ -201,8 +201,8 @@
         callers[0].sendall(b"first")
         return lambda: len(peer.notes) > 1
 
-    run(act)
-    callers[0].settimeout(PATIENCE)
+    run_until(act)
+    callers[0].settimeout(TEST_TIMEOUT_S)
     assert callers[0].recv(100) == b""
     callers[0].close()
 
@@ -217,7 +217,7 @@
     callers: list[socket.socket] = []
 
     def act(env: SocketEnv) -> Callable[[], bool]:
-        callers.extend(pair(env, [slow, *others], 1 + len(others)))
+        callers.extend(open_connections(env, [slow, *others], 1 + len(others)))
         slow.handle.send(b"x" * large)
         slow.handle.finish()
 
@@ -246,7 +246,7 @@
         return is_done
 
     sizes: list[int] = []
-    run(act)
+    run_until(act)
     assert sizes == [large]
     for caller in callers[1:]:
         assert caller.recv(100) == b"answered"
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -8,7 +8,7 @@
 import pytest
 
 from banklift.config.load import ConfigError
-from banklift.judge.day import DAYS, load_day, play_virtual
+from banklift.judge.day import DAYS_FOLDER, load_day, play_virtual
 from banklift.judge.rules import judge
 from banklift.judge.symptoms import symptoms
 from banklift.judge.trace import Entry
@@ -39,7 +39,7 @@
 
 def test_each_kind_of_fault_has_a_day() -> None:
     assert len(FAULT_DAYS) == 19
-    assert {path.stem for path in DAYS.glob("*.jsonnet")} == {*FAULT_DAYS, "short"}
+    assert {path.stem for path in DAYS_FOLDER.glob("*.jsonnet")} == {*FAULT_DAYS, "short"}
 
 
 @pytest.mark.parametrize("name", FAULT_DAYS)
@@ -49,7 +49,7 @@
     head = play_virtual(day, config, 2, 1, entries.append)
     entries.sort(key=lambda entry: entry.t)
     verdict = judge(head, entries)
-    assert not verdict.breaks
+    assert not verdict.violations
     figures = symptoms(head, entries)
     assert {
         name: figures.get(name, 0) for name, least in day.shows.items() if figures.get(name, 0) < least
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -19,7 +19,7 @@
 from banklift.interface import Effect, Need
 from banklift.judge.day import Day, Election, FaultOrder, load_day, play_virtual
 from banklift.judge.rules import judge
-from banklift.judge.trace import Entry, TraceError, Writer, read
+from banklift.judge.trace import Entry, TraceError, Writer, read_trace
 from banklift.judge.verdict import Verdict
 from banklift.proxy.machine import Machine
 from banklift.proxy.plan import Config
@@ -232,7 +232,7 @@
 
 def reasons(verdict: Verdict, rule: int) -> str:
     """The reasons of all violations of a rule as one text."""
-    return " / ".join(violation.reason for violation in verdict.breaks if violation.rule == rule)
+    return " / ".join(violation.reason for violation in verdict.violations if violation.rule == rule)
 
 
 @pytest.mark.parametrize(("rule", "reason", "make_machine", "orders", "changes"), PLANTED)
@@ -256,7 +256,7 @@
     orders: list[FaultOrder], changes: Changes
 ) -> None:
     verdict = play(orders, **changes)  # type: ignore[arg-type]
-    assert not verdict.breaks
+    assert not verdict.violations
     assert sum(tally.served for tally in verdict.tallies.values()) > 100
 
 
@@ -273,8 +273,12 @@
     tallies = play(NO_FAULTS, seconds=5).tallies
     for need, name in CLASS_OF_NEED.items():
         tally = tallies[name]
-        assert tally.reads > 20 and tally.shown >= 0.5 * tally.reads
-        assert tally.aged >= 0.5 * tally.reads if need is not Need.ANY else tally.aged == 0
+        assert tally.reads > 20 and tally.reads_with_value >= 0.5 * tally.reads
+        assert (
+            tally.reads_of_written_keys >= 0.5 * tally.reads
+            if need is not Need.ANY
+            else tally.reads_of_written_keys == 0
+        )
 
 
 # ---- faults of members, which the judge has to tell apart from faults of the router
@@ -285,7 +289,7 @@
 ) -> None:
     """Writes that replication had delivered are not lost by the fail-over but by the replica that drops them."""
     orders = for_members("lag", 0.3, 10_000, "west-1 west-2") + PRIMARY_HANGS
-    assert not play(orders).breaks
+    assert not play(orders).violations
 
     original = Node.promote
 
@@ -324,7 +328,7 @@
         FaultOrder(at=1.8, do="restart", member="west-0"),
     ]
     verdict = play(orders)
-    assert not verdict.breaks
+    assert not verdict.violations
     assert verdict.counts["acknowledged effects lost by the store at a fail-over"] > 5
     assert verdict.counts["effects that ran on a line that lost"] > 5
 
@@ -359,13 +363,13 @@
     for entry in entries:
         writer(entry)
     writer.close()
-    assert read(tmp_path / "t") == (head, sorted(entries, key=lambda entry: entry.t))
+    assert read_trace(tmp_path / "t") == (head, sorted(entries, key=lambda entry: entry.t))
     text = (tmp_path / "t").read_bytes()
     (tmp_path / "t").write_bytes(text[:-5])  # as if the writer was killed in the middle of a line
-    assert len(read(tmp_path / "t")[1]) == len(entries) - 1
+    assert len(read_trace(tmp_path / "t")[1]) == len(entries) - 1
     (tmp_path / "t").write_bytes(text + b'{"t": 1, "k": "nonsense"}\n')
     with pytest.raises(TraceError, match=rf"t:{len(entries) + 2}: Invalid enum value"):
-        read(tmp_path / "t")
+        read_trace(tmp_path / "t")
 
 
 def test_example_has_a_class_of_each_need_and_effect() -> None:
--- a/tests/test_random_days.py
+++ b/tests/test_random_days.py
@@ -33,8 +33,8 @@
     entries: list[Entry] = []
     head = play_virtual(day, config, routers, seed, entries.append)
     verdict = judge(head, sorted(entries, key=lambda entry: entry.t))
-    assert not verdict.breaks
-    assert sum(tally.aged for tally in verdict.tallies.values()) > 20
+    assert not verdict.violations
+    assert sum(tally.reads_of_written_keys for tally in verdict.tallies.values()) > 20
 
 
 def test_random_days_cover_all_orders_and_router_counts() -> None:
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -30,7 +30,7 @@
 from banklift.proxy import events as ev
 from tests import test_crowd
 from tests.platform_site import SETTINGS, Caller, Site, value
-from tests.surroundings import PATIENCE, pair, run
+from tests.surroundings import TEST_TIMEOUT_S, open_connections, run_until
 from tests.test_balance import SETTINGS as MODULE_SETTINGS
 from tests.test_balance import actions_of_type
 from tests.test_rare_moments import draining, pushed
@@ -281,7 +281,7 @@
     callers: list[socket.socket] = []
 
     def act(env: SocketEnv) -> Callable[[], bool]:
-        callers.extend(pair(env, peers, staying + leaving))
+        callers.extend(open_connections(env, peers, staying + leaving))
         for caller in callers[:staying]:
             caller.sendall(b"question")
         for caller in callers[staying:]:
@@ -290,7 +290,7 @@
             caller.close()
         return lambda: events.count("staying data") == staying
 
-    run(act, alone)
+    run_until(act, alone)
     assert events.index("staying data") >= leaving
     before = events[: events.index("staying data")]
     assert before.count("leaving half-closed") == leaving and before.index("leaving half-closed") == 0
@@ -385,7 +385,7 @@
     def stay_idle() -> None:
         """Connect without sending anything, again after each close, until the test stops."""
         while not stopping.is_set():
-            with socket.create_connection((host, int(port)), timeout=PATIENCE) as sock:
+            with socket.create_connection((host, int(port)), timeout=TEST_TIMEOUT_S) as sock:
                 sock.settimeout(0.2)
                 while not stopping.is_set():
                     try:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -23,7 +23,7 @@
     MOST_LINGERING,
     SocketEnv,
 )
-from tests.surroundings import pair, run
+from tests.surroundings import open_connections, run_until
 
 ANSWER = b"answered"
 
@@ -254,7 +254,7 @@
 
     def act(env: SocketEnv) -> Callable[[], bool]:
         callers.extend(
-            pair(
+            open_connections(
                 env,
                 [slow, *(Producer(slow, totals) for _ in range(MAX_SOCKETS_PER_BATCH))],
                 MAX_SOCKETS_PER_BATCH + 1,
@@ -264,7 +264,7 @@
             caller.sendall(b"question")
         return lambda: totals[1] >= MAX_SOCKETS_PER_BATCH
 
-    run(act, alone)
+    run_until(act, alone)
     assert slow.is_full and totals[1] == MAX_SOCKETS_PER_BATCH
     # bytes in the kernel, unsent bytes that are allowed here, and one answer more
     held = callers[0].getsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF) + 4 * HIGH_WATER_BYTES
