--- a/tests/test_habits.py
+++ b/tests/test_habits.py
@@ -41,7 +41,7 @@
     ],
 )
 def test_a_message_with_a_faulty_title_or_body_is_reported(message: str, fault: str | None) -> None:
-    found = commits.faults(message)
+    found = commits.message_problems(message)
     assert bool(found) == (fault is not None)
     assert fault is None or fault in found[0]
 
@@ -69,7 +69,7 @@
     assert git("commit", "-q", "--allow-empty", "--no-verify", "-m", "Second").returncode == 0
     tool = tmp_path / "tools/commits.py"
     for since, code in ((first, 1), (git("rev-parse", "HEAD").stdout.strip(), 0)):
-        tool.write_text(tool.read_text().replace(commits.SINCE, since).replace(first, since))
+        tool.write_text(tool.read_text().replace(commits.BASE_COMMIT, since).replace(first, since))
         checked = subprocess.run(
             [sys.executable, tool], cwd=tmp_path, capture_output=True, text=True, check=False
         )
--- a/tools/commits.py
+++ b/tools/commits.py
@@ -14,12 +14,12 @@
 from pathlib import Path
 
 TITLE_LIMIT = 90  # characters; a title has to be shorter
-SINCE = "59677c713f79af9b4a4f0566ef86c15219133362"  # the last commit before this check was introduced
+BASE_COMMIT = "59677c713f79af9b4a4f0566ef86c15219133362"  # the last commit before this check was introduced
 # Git leaves this line, and all below it, out of a message.
 SCISSORS = "# ------------------------ >8 ------------------------"
 
 
-def faults(message: str) -> list[str]:
+def message_problems(message: str) -> list[str]:
     """List the faults of a commit message. Lines that Git leaves out, comments for example, are ignored."""
     text = message.split(SCISSORS)[0]
     lines = [line.rstrip() for line in text.splitlines() if not line.startswith("#")]
@@ -59,17 +59,21 @@
     try:
         if arguments:
             messages = [(arguments[0], Path(arguments[0]).read_text(encoding="utf-8", errors="replace"))]
-        elif subprocess.run(["git", "cat-file", "-e", f"{SINCE}^{{commit}}"], capture_output=True).returncode:
-            print(f"commits: {SINCE[:7]} is not in this history (a shallow clone?); no message was looked at")
+        elif subprocess.run(
+            ["git", "cat-file", "-e", f"{BASE_COMMIT}^{{commit}}"], capture_output=True
+        ).returncode:
+            print(
+                f"commits: {BASE_COMMIT[:7]} is not in this history (a shallow clone?); no message was looked at"
+            )
             return 0
         else:
-            messages = history(SINCE)
+            messages = history(BASE_COMMIT)
     except (OSError, subprocess.CalledProcessError) as error:
         print(f"commits: {error}", file=sys.stderr)
         return 2
     fault_count = 0
     for name, message in messages:
-        for fault in faults(message):
+        for fault in message_problems(message):
             fault_count += 1
             print(f"commits: {name}: {fault}", file=sys.stderr)
     if not arguments:
