--- a/banklift/resp/proofs.py
+++ b/banklift/resp/proofs.py
@@ -50,7 +50,7 @@
 
     def __init__(self, core: Machine, groups: int) -> None:
         self.core = core
-        self.tracks = [ReplicationHistory() for _ in range(groups)]
+        self.histories = [ReplicationHistory() for _ in range(groups)]
         # reports that wait for a sample, by group: member, time asked and load
         self.delayed_reports: dict[int, list[tuple[MemberRecord, float, float]]] = {}
 
@@ -70,7 +70,7 @@
                 return (
                     now
                     + FLOOR_MARGIN_SECONDS
-                    - self.tracks[request.group].required_position(request.must_reflect, now)
+                    - self.histories[request.group].required_position(request.must_reflect, now)
                 )
         return None
 
@@ -107,13 +107,13 @@
             elif not attempt.pending.has_final_answer:
                 seen = None
                 if writes:
-                    seen = self.tracks[member.group].make_mark(member.name, fact.offset, now)
+                    seen = self.histories[member.group].make_mark(member.name, fact.offset, now)
                 elif request.request_class.need in MARKING_READS:
                     # what the read showed is no newer than the status after it
                     after = result.status_behind and self.learn(
                         member, result.status_behind, attempt.written_at, None
                     )
-                    seen = self.tracks[member.group].make_mark(
+                    seen = self.histories[member.group].make_mark(
                         member.name, after.offset if after else None, now
                     )
                 served = Served(result.answer, seen)
@@ -135,7 +135,7 @@
             case Need.BOUNDED:
                 floor = attempt.written_at - request.request_class.bound
             case Need.SESSION if not request.must_see_all:
-                return request.must_reflect is None or self.tracks[request.group].covers(
+                return request.must_reflect is None or self.histories[request.group].covers(
                     fact, request.must_reflect
                 )
             case _:
@@ -150,7 +150,9 @@
         `waiting`: when the oldest write was sent that the member has not answered (see `unanswered_since`
         of `ReplicationHistory.record_answer`).
         """
-        fact = self.tracks[member.group].record_answer(member.name, reported, asked, self.core.now, waiting)
+        fact = self.histories[member.group].record_answer(
+            member.name, reported, asked, self.core.now, waiting
+        )
         if fact.history_unknown:
             member.protocol_state.doubt = True
             # its role may have changed, so ask for its history
@@ -169,7 +171,7 @@
         reported = parse_replication_status(attempt.frames[0])
         if reported is None or attempt.pending.request.request_class.need is Need.WRITE:
             return
-        was_primary = self.tracks[member.group].primary_member == member.name
+        was_primary = self.histories[member.group].primary_member == member.name
         fact = self.learn(member, reported, attempt.written_at, None)
         if fact.primary is not None and fact.primary != was_primary:
             self._report(member, attempt.written_at, fact.primary, fact.position, reported.load)
@@ -222,17 +224,17 @@
 
     def forget(self, member: MemberRecord) -> None:
         """The member is no longer listed."""
-        self.tracks[member.group].forget(member.name)
+        self.histories[member.group].forget(member.name)
 
     def _primary_of(self, member: MemberRecord) -> MemberRecord | None:
         """The member that leads the group of this one, if it is known."""
-        name = self.tracks[member.group].primary_member
+        name = self.histories[member.group].primary_member
         return self.core.members.get(name) if name is not None else None
 
     def _send_delayed_reports(self, group: int) -> None:
         """Sends the delayed reports of a group, as the sample has come or won't come."""
         for member, asked, load in self.delayed_reports.pop(group, ()):
-            position, _ = self.tracks[group].proven_position(member.name)
+            position, _ = self.histories[group].proven_position(member.name)
             self._report(member, asked, False, position, load)
 
     def _report(
--- a/banklift/rig/world.py
+++ b/banklift/rig/world.py
@@ -20,7 +20,7 @@
 from banklift.fleet.aggregator_node import AggregatorNode
 from banklift.fleet.messages import Ended, Message, Set, Show, Shown
 from banklift.fleet.node import Node
-from banklift.fleet.placement import Candidate, choose
+from banklift.fleet.placement import Candidate, choose_aggregators
 from banklift.fleet.plan import Plan
 from banklift.fleet.register import Record
 from banklift.fleet.state import Outcome
@@ -168,7 +168,7 @@
         candidates = [
             Candidate(aggregator.name, f"machine-{aggregator.key}") for aggregator in zone_aggregators
         ]
-        self.routers[name].aggregators = choose(name, candidates)
+        self.routers[name].aggregators = choose_aggregators(name, candidates)
 
     def add_router(self, key: str, name: str) -> Router:
         """Add a router that leases from the voters and is not started yet. Another member may have its name."""
