--- a/banklift/rig/schedule.py
+++ b/banklift/rig/schedule.py
@@ -90,7 +90,7 @@
             if isinstance(answer, Shown) and answer.state is not None:
                 self._send_change(number, answer.state.version)
 
-        self.fleet.ask(self.random.choice(self.fleet.voters), Show(), request)
+        self.fleet.send_request(self.random.choice(self.fleet.voters), Show(), request)
 
     def _send_change(self, number: int, version: int) -> None:
         """Request a change from a random voter; sometimes twice, which may be from two voters."""
@@ -98,7 +98,7 @@
         text = b"policy %d" % number + (b" " + REFUSED if random.random() < 0.15 else b"")
         message = Set(f"{version}-n{number}", text, random.uniform(2.0, 12.0), random.random() < 0.1)
         for _ in range(random.choice((1, 1, 2))):
-            fleet.ask(random.choice(fleet.voters), message, fleet.told)
+            fleet.send_request(random.choice(fleet.voters), message, fleet.record_answer)
 
     def _kill(self) -> None:
         """Kill a member, perhaps with damage to its disk, and start it again later."""
@@ -128,7 +128,7 @@
             if member.host is not None:
                 return
             if isinstance(member, Router):
-                member.reasons = (REFUSAL_REASON,) if self.random.random() < 0.15 else ()
+                member.refusal_reasons = (REFUSAL_REASON,) if self.random.random() < 0.15 else ()
             self.fleet.start(key)
 
         self._later(self.random.choice((0.0, MAX_RESTART_DELAY)), start)
@@ -137,7 +137,7 @@
         """Damage a killed voter's disk, sometimes, if no more voters have a damaged disk than a fleet tolerates."""
         fleet, random = self.fleet, self.random
         tolerated = (len(fleet.voters) - 1) // 2
-        self.damaged = {voter for voter in self.damaged if not fleet.votes(voter)}
+        self.damaged = {voter for voter in self.damaged if not fleet.is_voting(voter)}
         if len(self.damaged - {key}) >= tolerated or random.random() < 0.5:
             return
         self.damaged.add(key)
@@ -149,7 +149,7 @@
             case "torn":
                 disk.content = b"torn"
             case _:
-                disk.content = random.choice([*disk.older, disk.content])
+                disk.content = random.choice([*disk.history, disk.content])
         fleet.count_case(f"events: disk {damage}")
 
     def _pause(self) -> None:
@@ -182,7 +182,7 @@
         key = random.choice(list(fleet.members))
         others = random.choice(((), fleet.voters, tuple(fleet.aggregators)))
         way = random.choice((None, THERE, BACK))
-        fleet.cut_off(key, others, way)
+        fleet.stall_links(key, others, way)
         fleet.count_case("events: cut off")
         self._later(MAX_LINK_FAULT_DURATION, lambda: fleet.heal(key))
 
@@ -219,7 +219,7 @@
         self._take_faults_back()
         fleet.run(RECOVERY_PERIOD)
         not_recovered = self._not_recovered()
-        return Report(self.seed, fleet.breaks + not_recovered, dict(fleet.cases))
+        return Report(self.seed, fleet.violations + not_recovered, dict(fleet.case_counts))
 
     def _starter(self, key: str) -> Callable[[], None]:
         return lambda: self.fleet.start(key)
@@ -237,9 +237,9 @@
             fleet.resume(key)
             if isinstance(member, Router):
                 member.disk.fault = ""
-                if member.reasons:
+                if member.refusal_reasons:
                     fleet.kill(key)
-                    member.reasons = ()
+                    member.refusal_reasons = ()
             if member.host is None:
                 fleet.start(key)
 
@@ -251,6 +251,6 @@
         if result != Result.IN_FORCE:
             found.append(f"the last change: {result}")
         fleet.run(1.0)
-        if fleet.serving() != dict.fromkeys(fleet.names, fleet.newest):
-            found.append(f"not all serve epoch {fleet.newest}: {fleet.serving()}")
+        if fleet.serving() != dict.fromkeys(fleet.names, fleet.newest_epoch):
+            found.append(f"not all serve epoch {fleet.newest_epoch}: {fleet.serving()}")
         return found
--- a/banklift/rig/seeds.py
+++ b/banklift/rig/seeds.py
@@ -23,7 +23,9 @@
     try:
         return schedule.play()
     except AssertionError as error:
-        return Report(seed, [*schedule.fleet.breaks, f"assertion: {error}"], dict(schedule.fleet.cases))
+        return Report(
+            seed, [*schedule.fleet.violations, f"assertion: {error}"], dict(schedule.fleet.case_counts)
+        )
 
 
 def total(reports: Iterable[Report]) -> Counter[str]:
--- a/banklift/rig/world.py
+++ b/banklift/rig/world.py
@@ -47,7 +47,7 @@
     """A voter's disk: what its state folder holds, and its fault."""
 
     content: bytes | None = None  # the newest record written; None: the folder is empty
-    older: list[bytes | None] = field(default_factory=list)  # what it held before, the newest last
+    history: list[bytes | None] = field(default_factory=list)  # what it held before, the newest last
     fault: str = ""  # EIO, full: writes fail; lies: writes succeed, and are lost when the process is killed
     durable: bytes | None = None  # what is left after a kill if the disk lies
 
@@ -62,7 +62,7 @@
     env: NodeEnv | None = None  # None before its first start
     host: FleetHost | None = None  # None while its process does not run
     incarnation: int = 0
-    ousted: str = ""  # why the fleet has excluded it; empty if it has not
+    name_conflict_reason: str = ""  # why the fleet has excluded it; empty if it has not
 
     @property
     def paused(self) -> bool:
@@ -76,7 +76,7 @@
 
     disk: Disk = field(default_factory=Disk)
     aggregators: tuple[str, ...] = ()  # names of those that it leases from; empty: it leases from the voters
-    reasons: tuple[str, ...] = ()  # for which it refuses every policy that contains `REFUSED`
+    refusal_reasons: tuple[str, ...] = ()  # for which it refuses every policy that contains `REFUSED`
     serving_state: ServingState | None = None  # of its last start
 
     @property
@@ -180,17 +180,17 @@
     # ---- members, and what the judge found
 
     @property
-    def breaks(self) -> list[str]:
+    def violations(self) -> list[str]:
         """All violations of invariants so far."""
         return self.judge.violations
 
     @property
-    def cases(self) -> dict[str, int]:
+    def case_counts(self) -> dict[str, int]:
         """How often each case came up in which an invariant could have been violated."""
         return self.judge.case_counts
 
     @property
-    def newest(self) -> int:
+    def newest_epoch(self) -> int:
         """The newest epoch that any router has adopted."""
         return self.judge.newest_epoch
 
@@ -203,7 +203,7 @@
         """Add to the count of a case."""
         self.judge.count_case(name, count)
 
-    def lapses(self, since: float = 0.0) -> list[LeaseGap]:
+    def lease_gaps(self, since: float = 0.0) -> list[LeaseGap]:
         """The times in which routers that ran had no lease, if they ended after `since` or go on."""
         return self.judge.gaps_since(since, self.world.now())
 
@@ -221,7 +221,7 @@
             self.random.uniform(0.0, 1e5),
             self._tap(Process(key, incarnation)),
         )
-        member.incarnation, member.ousted = incarnation, ""
+        member.incarnation, member.name_conflict_reason = incarnation, ""
         node = (
             self._router_node(member, incarnation)
             if isinstance(member, Router)
@@ -265,14 +265,14 @@
             except msgspec.DecodeError:
                 record = None
         process = Process(router.key, incarnation)
-        router.serving_state = ServingState(process, router.key in self.voters, router.reasons)
+        router.serving_state = ServingState(process, router.key in self.voters, router.refusal_reasons)
         self.judge.router_started(router.serving_state)
         return self.node(
             self._plan(router),
             incarnation,
             self.random.randrange(2**32),
             b"first",
-            lambda text: router.reasons if REFUSED in text else (),
+            lambda text: router.refusal_reasons if REFUSED in text else (),
             record,
             router.disk.content is None,
         )
@@ -323,7 +323,7 @@
 
     def _oust(self, member: Member, reason: str) -> None:
         self.kill(member.key)
-        member.ousted = reason
+        member.name_conflict_reason = reason
 
     def _save(self, member: Member, host: FleetHost, record: bytes, done: Callable[[str], None]) -> None:
         assert isinstance(member, Router) and member.env is not None
@@ -335,8 +335,8 @@
             if disk.fault in ("EIO", "full"):
                 env.deliver(lambda: done(disk.fault))
                 return
-            disk.older.append(disk.content)
-            del disk.older[:-DISK_HISTORY]
+            disk.history.append(disk.content)
+            del disk.history[:-DISK_HISTORY]
             disk.content = record
             if disk.fault != "lies":
                 disk.durable = record
@@ -363,11 +363,11 @@
             or (key == target and (not others or source in others))
         ]
 
-    def cut_off(self, key: str, others: tuple[str, ...] = (), way: str | None = None) -> None:
-        """Stall all links of a member, or those with `others`. `way`: "there" (from the member that made the link) or
-        "back"; by default both."""
+    def stall_links(self, key: str, others: tuple[str, ...] = (), direction: str | None = None) -> None:
+        """Stall all links of a member, or those with `others`. `direction`: "there" (from the member that made the
+        link) or "back"; by default both."""
         for relay in self.links(key, others):
-            for each in (THERE, BACK) if way is None else (way,):
+            for each in (THERE, BACK) if direction is None else (direction,):
                 relay.fault(each, "stall")
 
     def heal(self, key: str | None = None) -> None:
@@ -375,7 +375,7 @@
         for relay in list(self.relays.values()) if key is None else self.links(key):
             relay.heal()
 
-    def clients_of(self, aggregator: str) -> tuple[str, ...]:
+    def routers_of(self, aggregator: str) -> tuple[str, ...]:
         """The routers that prefer this aggregator."""
         return tuple(
             key
@@ -385,7 +385,7 @@
 
     # ---- observation
 
-    def votes(self, key: str) -> bool:
+    def is_voting(self, key: str) -> bool:
         """Whether a voter runs and votes."""
         host = self.routers[key].host
         if host is None:
@@ -430,14 +430,16 @@
 
     # ---- operators
 
-    def ask(self, key: str, message: Set | Show, on_answer: Callable[[Message | None], object]) -> None:
+    def send_request(
+        self, key: str, message: Set | Show, on_answer: Callable[[Message | None], object]
+    ) -> None:
         """Send an operator's message to a voter or an aggregator. `on_answer` gets the answer, or None if the
         connection broke."""
         if isinstance(message, Set):
             self.judge.change_requested(message.change, message.policy, message.dry)
         self.world.connect(self.ports[key], Operator(FLEET, message, on_answer))
 
-    def told(self, answer: Message | None) -> str:
+    def record_answer(self, answer: Message | None) -> str:
         """Note the answer that an operator received. Returns the result in one word."""
         if isinstance(answer, Ended):
             self.outcomes[answer.outcome.id] = answer.outcome
@@ -446,7 +448,7 @@
     def show(self, key: str, seconds: float = 1.0) -> Shown | None:
         """The state that a voter or an aggregator reports; None if no answer comes within `seconds`."""
         answers: list[Message | None] = []
-        self.ask(key, Show(), answers.append)
+        self.send_request(key, Show(), answers.append)
         self.run_until(lambda: bool(answers), seconds)
         return answers[0] if answers and isinstance(answers[0], Shown) else None
 
@@ -482,7 +484,7 @@
                 version.append(answer.state.version)
 
         while not version and self.world.now() < end:
-            self.ask(voter or self.random.choice(self.voters), Show(), shown)
+            self.send_request(voter or self.random.choice(self.voters), Show(), shown)
             self.run(SHOW_TIMEOUT)
         return version[0] if version else None
 
@@ -490,10 +492,10 @@
         """Send the request until an outcome comes or `end` has come; the result in one word."""
         result: list[str] = []
         while not result and self.world.now() < end:
-            self.ask(
+            self.send_request(
                 voter or self.random.choice(self.voters),
                 message,
-                lambda answer: result.append(self.told(answer)),
+                lambda answer: result.append(self.record_answer(answer)),
             )
             asked_at = self.world.now()
             while not result and self.world.now() < min(end, asked_at + OUTCOME_TIMEOUT):
--- a/banklift/rig/world_judge.py
+++ b/banklift/rig/world_judge.py
@@ -66,7 +66,7 @@
 
     process: Process
     is_voter: bool
-    reasons: tuple[str, ...]  # for which it refuses every policy that contains `REFUSED`
+    refusal_reasons: tuple[str, ...]  # for which it refuses every policy that contains `REFUSED`
     epoch: int = 0  # of the policy that it has adopted
     lease_end: float = -math.inf  # true time
     lease_epoch: int = 0  # the epoch when `lease_end` was set
@@ -279,7 +279,7 @@
             if not router.serves(now):
                 continue
             self.count_case("everywhere or nowhere: served when a change was agreed on")
-            if router.reasons and REFUSED in text:
+            if router.refusal_reasons and REFUSED in text:
                 self.report(
                     now, "everywhere or nowhere", f"{change} was agreed on, and {router.name} refuses it"
                 )
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -69,7 +69,7 @@
                 assert fleet.change(b"second", patience=3 * lease, seconds=6 * lease) == "in force"
                 times.append(fleet.world.now() - started_at - VERSION_WAIT_S)
                 fleet.run(1.0)
-                assert fleet.breaks == [] and set(fleet.serving().values()) == {2}
+                assert fleet.violations == [] and set(fleet.serving().values()) == {2}
             results[f"{routers} routers, {voters} voters, {down} down"] = {
                 "seconds, median": round(statistics.median(times), 2),
                 "seconds, most": round(max(times), 2),
--- a/tests/test_aggregator_planted.py
+++ b/tests/test_aggregator_planted.py
@@ -56,7 +56,7 @@
 
 def violations(fleet: FleetWorld, result: str, expected: str = "in force") -> list[str]:
     """The invariants that were broken, and the result of the change if it is not the expected one."""
-    return fleet.breaks + ([] if result == expected else [f"the change was {result}"])
+    return fleet.violations + ([] if result == expected else [f"the change was {result}"])
 
 
 def at_stage(fleet: FleetWorld, stage: Stage, act: Callable[[], None]) -> None:
@@ -83,14 +83,16 @@
     fleet.start("r6")
     fleet.run(1.0)
     return (
-        found + fleet.breaks + ([] if fleet.serving() == dict.fromkeys(fleet.names, 2) else ["not all serve"])
+        found
+        + fleet.violations
+        + ([] if fleet.serving() == dict.fromkeys(fleet.names, 2) else ["not all serve"])
     )
 
 
 def aggregator_cut_off_from_voters() -> list[str]:
     """The only aggregator gets no answers from the voters, while its routers go on requesting sub-leases."""
     fleet = settled_fleet(1, ONE_AGGREGATOR)
-    fleet.cut_off("a0", fleet.voters, "back")
+    fleet.stall_links("a0", fleet.voters, "back")
     return violations(fleet, fleet.change(b"second"))
 
 
@@ -99,7 +101,7 @@
     found = []
     for way in ("there", "back"):
         fleet = settled_fleet(2, ONE_AGGREGATOR)
-        at_stage(fleet, Stage.AGREED, lambda fleet=fleet, way=way: fleet.cut_off("a0", fleet.voters, way))  # type: ignore[misc]
+        at_stage(fleet, Stage.AGREED, lambda fleet=fleet, way=way: fleet.stall_links("a0", fleet.voters, way))  # type: ignore[misc]
         found += violations(fleet, fleet.change(b"second"))
     return found
 
@@ -107,7 +109,7 @@
 def router_cut_off_during_closing() -> list[str]:
     """A router is cut off once the change is agreed. Its sub-lease is longer than the leases that voters grant then."""
     fleet = settled_fleet(3, ONE_AGGREGATOR)
-    at_stage(fleet, Stage.AGREED, lambda: fleet.cut_off("r4", ("a0",)))
+    at_stage(fleet, Stage.AGREED, lambda: fleet.stall_links("r4", ("a0",)))
     return violations(fleet, fleet.change(b"second"))
 
 
@@ -118,7 +120,7 @@
         fleet = settled_fleet(4, ONE_AGGREGATOR)
 
         def cut_off_later(fleet: FleetWorld = fleet, delay: float = delay) -> None:
-            fleet.world.at(fleet.world.now() + delay, lambda: fleet.cut_off("r4", ("a0",)))
+            fleet.world.at(fleet.world.now() + delay, lambda: fleet.stall_links("r4", ("a0",)))
 
         at_stage(fleet, Stage.AGREED, cut_off_later)
         found += violations(fleet, fleet.change(b"second"))
@@ -128,7 +130,7 @@
 def aggregator_restarts_while_its_router_is_cut_off() -> list[str]:
     """The new incarnation does not know of the router, which holds a sub-lease of the old one."""
     fleet = settled_fleet(5, ONE_AGGREGATOR)
-    fleet.cut_off("r4", ("a0",))
+    fleet.stall_links("r4", ("a0",))
     fleet.run(0.1)
     fleet.kill("a0")
     fleet.start("a0")
@@ -141,7 +143,7 @@
     for relay in fleet.links("a0"):
         relay.fault("back", "delay", 0.4)
     fleet.run(2 * LEASE)
-    fleet.cut_off("a0", fleet.voters, "there")
+    fleet.stall_links("a0", fleet.voters, "there")
     fleet.run(0.5)
     return violations(fleet, fleet.change(b"second"))
 
@@ -167,8 +169,8 @@
         fleet = settled_fleet(7, ONE_AGGREGATOR, rates)
 
         def cut_off(fleet: FleetWorld = fleet) -> None:
-            fleet.cut_off("r3")
-            fleet.cut_off("a0", fleet.voters)
+            fleet.stall_links("r3")
+            fleet.stall_links("a0", fleet.voters)
 
         fleet.world.at(fleet.world.now() + 0.2 + 0.02 * step, cut_off)
         found += violations(fleet, fleet.change(b"second"))
@@ -178,7 +180,7 @@
 def router_refuses() -> list[str]:
     """A router refuses the policy: the change is aborted, and the old policy stays in force."""
     fleet = settled_fleet(8, TWO_AGGREGATORS)
-    fleet.routers["r6"].reasons = ("no",)
+    fleet.routers["r6"].refusal_reasons = ("no",)
     found = violations(fleet, fleet.change(b"second " + REFUSED), "aborted")
     return found + ([] if fleet.serving() == dict.fromkeys(fleet.names, 1) else ["not all serve"])
 
@@ -190,10 +192,10 @@
 
     def restart() -> None:
         fleet.kill("r4")
-        fleet.routers["r4"].reasons = ("no",)
+        fleet.routers["r4"].refusal_reasons = ("no",)
         fleet.start("r4")
 
-    fleet.cut_off("r3")
+    fleet.stall_links("r3")
     at_stage(fleet, Stage.CHECKING, lambda: fleet.world.at(fleet.world.now() + 0.2, restart))
     return violations(fleet, fleet.change(b"second " + REFUSED), "aborted")
 
@@ -207,17 +209,17 @@
 
         def restart(fleet: FleetWorld = fleet, delay: float = 0.002 * step) -> None:
             fleet.kill("r4")
-            fleet.routers["r4"].reasons = ("no",)
+            fleet.routers["r4"].refusal_reasons = ("no",)
             fleet.start("r4")
-            fleet.world.at(fleet.world.now() + delay, lambda: fleet.cut_off("r4", ("a0",), "there"))
+            fleet.world.at(fleet.world.now() + delay, lambda: fleet.stall_links("r4", ("a0",), "there"))
 
         def restart_later(fleet: FleetWorld = fleet, restart: Callable[[], None] = restart) -> None:
             fleet.world.at(fleet.world.now() + 0.2, restart)
 
-        fleet.cut_off("r3")
+        fleet.stall_links("r3")
         at_stage(fleet, Stage.CHECKING, restart_later)
         fleet.change(b"second " + REFUSED)
-        found += fleet.breaks
+        found += fleet.violations
     return found
 
 
@@ -225,19 +227,19 @@
     """An aggregator accepts, as none of its routers refuses, and restarts; a router that refuses comes to the new
     incarnation. Meanwhile the change waits for a router of another aggregator, which is cut off."""
     fleet = settled_fleet(10, TWO_AGGREGATORS, down=("r6",))
-    fleet.routers["r6"].reasons = ("no",)
+    fleet.routers["r6"].refusal_reasons = ("no",)
     preferred, standby = fleet.routers["r6"].aggregators
-    cut_off_router = fleet.clients_of(standby)[0]
+    cut_off_router = fleet.routers_of(standby)[0]
 
     def restart() -> None:
         fleet.kill(preferred)
         fleet.start(preferred)
         fleet.start("r6")
 
-    fleet.cut_off(cut_off_router)
+    fleet.stall_links(cut_off_router)
     at_stage(fleet, Stage.CHECKING, lambda: fleet.world.at(fleet.world.now() + 0.2, restart))
     fleet.change(b"second " + REFUSED)
-    return fleet.breaks
+    return fleet.violations
 
 
 def refusing_router_starts_late() -> list[str]:
@@ -245,7 +247,7 @@
     found = []
     for delay in (0.0, 0.01, 0.02, 0.03, 0.04, 0.05, 0.06, 0.08, 0.1):
         fleet = settled_fleet(11, TWO_AGGREGATORS, down=("r6",))
-        fleet.routers["r6"].reasons = ("no",)
+        fleet.routers["r6"].refusal_reasons = ("no",)
 
         def start_later(fleet: FleetWorld = fleet, delay: float = delay) -> None:
             fleet.world.at(fleet.world.now() + delay, lambda: fleet.start("r6"))
@@ -253,7 +255,7 @@
         at_stage(fleet, Stage.CHECKING, start_later)
         result = fleet.change(b"second " + REFUSED)
         fleet.run(SETTLE_TIME)
-        found += fleet.breaks
+        found += fleet.violations
         if result == "in force" and "r6" in fleet.serving():
             found.append("r6 serves a policy that it refuses, or an old one")
     return found
--- a/tests/test_aggregator_world.py
+++ b/tests/test_aggregator_world.py
@@ -1,7 +1,7 @@
 """Lease aggregators in virtual time: killed, suspended, cut off and started twice, at rest and during changes.
 
-A lapse is a time in which a running router has no lease. `fleet.breaks` lists the invariants that were broken; they are
-described in rig/world_judge.py.
+A lapse is a time in which a running router has no lease. `fleet.violations` lists the invariants that were broken; they
+are described in rig/world_judge.py.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
 def switched(fleet: FleetWorld, epoch: int = 2) -> Callable[[], bool]:
     """Returns a function that tells whether a router has adopted the epoch, the newest one."""
-    return lambda: fleet.newest == epoch
+    return lambda: fleet.newest_epoch == epoch
 
 
 def assert_healthy(fleet: FleetWorld, epoch: int, seconds: float = 10.0) -> None:
@@ -67,7 +67,7 @@
     assert fleet.world.now() - begin < CHANGE_TIME
     fleet.run(0.5)
     assert fleet.serving() == dict.fromkeys(fleet.names, epoch + 1)
-    assert fleet.breaks == []
+    assert fleet.violations == []
 
 
 # ---- all members are up
@@ -80,14 +80,14 @@
     assert fleet.world.now() - begin < CHANGE_TIME
     fleet.run(0.5)
     assert fleet.serving() == dict.fromkeys(fleet.names, 2)
-    assert fleet.breaks == []
+    assert fleet.violations == []
     for case in (
         "never mixed: adopted while another served",
         "contained: sub-leases granted",
         "contained: leases extended",
         "everywhere or nowhere: served when a change was agreed on",
     ):
-        assert fleet.cases[case] > 0, (case, fleet.cases)
+        assert fleet.case_counts[case] > 0, (case, fleet.case_counts)
 
 
 def test_lapses_in_a_switch_are_short_for_all_routers() -> None:
@@ -97,7 +97,7 @@
         begin = fleet.world.now()
         assert fleet.change(b"second") == "in force"
         fleet.run(1.0)
-        lapses = fleet.lapses(begin)
+        lapses = fleet.lease_gaps(begin)
         assert {(lapse.before, lapse.after) for lapse in lapses} <= {(1, 2)}
         assert max((lapse.length for lapse in lapses), default=0.0) < SWITCH_LAPSE, lapses
 
@@ -114,7 +114,7 @@
         assert own is not None and (own.voter, own.standing) == (key, "aggregator")
         names = {holder.name for holder in own.holders if holder.left > 0}
         summary = counts[key]
-        assert names == set(fleet.clients_of(key)) and summary is not None and summary.routers == len(names)
+        assert names == set(fleet.routers_of(key)) and summary is not None and summary.routers == len(names)
         shown_routers |= names
     assert shown_routers == set(aggregated_routers(fleet))
 
@@ -123,14 +123,14 @@
     fleet = settled_fleet(3, routers=9, direct=2)
     assert aggregated_routers(fleet) == ["r5", "r6", "r7", "r8"]
     assert fleet.change(b"second") == "in force"
-    fleet.routers["r3"].reasons = ("direct: no",)
+    fleet.routers["r3"].refusal_reasons = ("direct: no",)
     assert fleet.change(b"third " + REFUSED) == "aborted"
     assert_healthy(fleet, 2)
 
 
 def test_the_operator_gets_the_reason_of_a_refusal() -> None:
     fleet = settled_fleet(4)
-    fleet.routers["r7"].reasons = ("$.classes: not in this build",)
+    fleet.routers["r7"].refusal_reasons = ("$.classes: not in this build",)
     assert fleet.change(b"second " + REFUSED) == "aborted"
     (outcome,) = fleet.outcomes.values()
     assert outcome.reasons == ("r7: $.classes: not in this build",)
@@ -141,11 +141,11 @@
 def test_a_dry_run_checks_on_every_router_and_changes_nothing() -> None:
     fleet = settled_fleet(5)
     assert fleet.change(b"second", dry=True) == "fine"
-    fleet.routers["r6"].reasons = ("no",)
+    fleet.routers["r6"].refusal_reasons = ("no",)
     assert fleet.change(b"third " + REFUSED, dry=True) == "refused"
     assert list(fleet.outcomes.values())[-1].reasons == ("r6: no",)
     assert fleet.serving() == dict.fromkeys(fleet.names, 1)
-    assert fleet.lapses() == []
+    assert fleet.lease_gaps() == []
     assert_healthy(fleet, 1)
 
 
@@ -158,7 +158,7 @@
     for key in fleet.members:
         fleet.start(key)
     fleet.run(SETTLE_TIME)
-    assert fleet.clients_of("r0") and fleet.clients_of("a0")
+    assert fleet.routers_of("r0") and fleet.routers_of("a0")
     assert fleet.serving() == dict.fromkeys(fleet.names, 1)
     assert fleet.change(b"second") == "in force"
     fleet.kill("r0")
@@ -180,11 +180,11 @@
         begin = fleet.world.now()
         fleet.kill(key)
         fleet.run(3 * LEASE)
-        assert fleet.lapses(begin) == []
+        assert fleet.lease_gaps(begin) == []
         fleet.start(key)
         fleet.run(2 * LEASE)
-        assert fleet.lapses(begin) == []
-    assert fleet.breaks == []
+        assert fleet.lease_gaps(begin) == []
+    assert fleet.violations == []
 
 
 @pytest.mark.parametrize("delay", [0.0, 0.003, 0.01, 0.03])
@@ -206,7 +206,7 @@
     assert fleet.aggregators["a0"].host is None
     fleet.run(0.5)
     assert fleet.serving() == dict.fromkeys(fleet.names, 2)
-    lapses = fleet.lapses(begin)  # only those of the switch
+    lapses = fleet.lease_gaps(begin)  # only those of the switch
     assert {(lapse.before, lapse.after) for lapse in lapses} <= {(1, 2)}
     assert max((lapse.length for lapse in lapses), default=0.0) < SWITCH_LAPSE
     fleet.start("a0")
@@ -235,7 +235,7 @@
     fleet = settled_fleet(22, aggregators=aggregators)
     fleet.when(closing(fleet), lambda: fleet.pause("a0"))
     assert fleet.change(b"second") == "in force"
-    assert fleet.newest == 2 and fleet.aggregators["a0"].paused
+    assert fleet.newest_epoch == 2 and fleet.aggregators["a0"].paused
     if aggregators == 1:  # its routers have no standby
         fleet.run(EXPIRY)
         assert set(fleet.serving()) == set(fleet.voters)
@@ -288,21 +288,21 @@
     fleet = settled_fleet(25)
     second = fleet.add_aggregator("a0 twice", name="a0")
     fleet.start("a0 twice")
-    misdirected = fleet.clients_of("a0")
+    misdirected = fleet.routers_of("a0")
     assert misdirected
     for key in misdirected:
         relay = fleet.relays[key, "a0"]
         relay.target = lambda: fleet.ports["a0 twice"]
         relay.end()
     fleet.run(3.0)
-    assert "is here already" in second.ousted
+    assert "is here already" in second.name_conflict_reason
     assert fleet.change(b"second") == "in force"
     for key in misdirected:
         fleet.relays[key, "a0"].target = lambda: fleet.ports["a0"]
     fleet.kill("a0")
     fleet.start("a0")
     fleet.run(SETTLE_TIME)
-    assert not fleet.aggregators["a0"].ousted
+    assert not fleet.aggregators["a0"].name_conflict_reason
     assert_healthy(fleet, 2)
 
 
@@ -313,7 +313,7 @@
 def test_an_aggregator_is_cut_off_from_voters_and_has_a_standby(way: str | None) -> None:
     """Its routers lease from the standby, and a change waits only until the leases of the one cut off have ended."""
     fleet = settled_fleet(30)
-    fleet.cut_off("a0", way=way, others=fleet.voters)
+    fleet.stall_links("a0", direction=way, others=fleet.voters)
     begin = fleet.world.now()
     assert fleet.change(b"second") == "in force"
     assert fleet.world.now() - begin < EXPIRY + CHANGE_TIME
@@ -327,11 +327,11 @@
 def test_the_only_aggregator_is_cut_off_from_voters(way: str | None) -> None:
     """Its routers stop by the end of its own lease, whatever it sends them."""
     fleet = settled_fleet(31, aggregators=1)
-    fleet.cut_off("a0", way=way, others=fleet.voters)
+    fleet.stall_links("a0", direction=way, others=fleet.voters)
     begin = fleet.world.now()
     fleet.run(EXPIRY)
     assert set(fleet.serving()) == set(fleet.voters)
-    assert {lapse.router for lapse in fleet.lapses(begin)} == set(aggregated_routers(fleet))
+    assert {lapse.router for lapse in fleet.lease_gaps(begin)} == set(aggregated_routers(fleet))
     assert fleet.change(b"second") == "in force"
     assert set(fleet.serving()) == set(fleet.voters)
     fleet.heal()
@@ -345,7 +345,10 @@
 ) -> None:
     for aggregators in (1, 2):
         fleet = settled_fleet(32, aggregators=aggregators)
-        fleet.when(moment(fleet), lambda fleet=fleet: fleet.cut_off("a0", way=way, others=fleet.voters))  # type: ignore[misc]
+        fleet.when(
+            moment(fleet),
+            lambda fleet=fleet: fleet.stall_links("a0", direction=way, others=fleet.voters),  # type: ignore[misc]
+        )
         assert fleet.change(b"second") == "in force"
         fleet.heal()
         assert_healthy(fleet, 2)
@@ -356,12 +359,12 @@
     """The routers lease from the standby without a lapse, and a change waits only for the outstanding sub-leases."""
     fleet = settled_fleet(33)
     begin = fleet.world.now()
-    fleet.cut_off("a0", way=way, others=tuple(aggregated_routers(fleet)))
+    fleet.stall_links("a0", direction=way, others=tuple(aggregated_routers(fleet)))
     assert fleet.change(b"second") == "in force"
     assert fleet.world.now() - begin < EXPIRY + CHANGE_TIME
     fleet.run(LEASE)
     assert fleet.serving() == dict.fromkeys(fleet.names, 2)
-    assert [lapse for lapse in fleet.lapses(begin) if lapse.before == lapse.after] == []
+    assert [lapse for lapse in fleet.lease_gaps(begin) if lapse.before == lapse.after] == []
     fleet.heal()
     assert_healthy(fleet, 2)
 
@@ -369,10 +372,10 @@
 def test_a_stalled_link_from_a_router_to_its_aggregator_causes_no_lapse() -> None:
     fleet = settled_fleet(34)
     begin = fleet.world.now()
-    router = fleet.clients_of("a0")[0]
-    fleet.cut_off(router, others=("a0",))
+    router = fleet.routers_of("a0")[0]
+    fleet.stall_links(router, others=("a0",))
     fleet.run(3 * LEASE)
-    assert fleet.lapses(begin) == []
+    assert fleet.lease_gaps(begin) == []
     fleet.heal()
     assert_healthy(fleet, 1)
 
@@ -380,9 +383,9 @@
 def test_a_stalled_link_from_an_aggregator_to_a_voter_causes_no_lapse() -> None:
     fleet = settled_fleet(35)
     begin = fleet.world.now()
-    fleet.cut_off("a0", others=("r1",))
+    fleet.stall_links("a0", others=("r1",))
     fleet.run(3 * LEASE)
-    assert fleet.lapses(begin) == []
+    assert fleet.lease_gaps(begin) == []
     fleet.heal()
     assert_healthy(fleet, 1)
 
@@ -393,10 +396,10 @@
     moment: Callable[[FleetWorld], Callable[[], bool]], delay: float
 ) -> None:
     fleet = settled_fleet(36)
-    router = fleet.clients_of("a0")[0]
+    router = fleet.routers_of("a0")[0]
 
     def move() -> None:
-        fleet.world.at(fleet.world.now() + delay, lambda: fleet.cut_off(router, others=("a0",)))
+        fleet.world.at(fleet.world.now() + delay, lambda: fleet.stall_links(router, others=("a0",)))
 
     fleet.when(moment(fleet), move)
     assert fleet.change(b"second") == "in force"
@@ -410,11 +413,11 @@
 def test_a_refusing_router_moves_to_its_standby_during_the_check(delay: float) -> None:
     """Its refusal is not lost: the change is aborted, so the router never serves an old policy beside the new one."""
     fleet = settled_fleet(37)
-    router = fleet.clients_of("a0")[0]
-    fleet.routers[router].reasons = ("no",)
+    router = fleet.routers_of("a0")[0]
+    fleet.routers[router].refusal_reasons = ("no",)
 
     def move() -> None:
-        fleet.world.at(fleet.world.now() + delay, lambda: fleet.cut_off(router, others=("a0",)))
+        fleet.world.at(fleet.world.now() + delay, lambda: fleet.stall_links(router, others=("a0",)))
 
     fleet.when(checking(fleet), move)
     assert fleet.change(b"second " + REFUSED) == "aborted"
@@ -429,13 +432,13 @@
 def test_routers_stop_without_a_majority_of_voters_and_serve_again_with_one() -> None:
     fleet = settled_fleet(40)
     for key in ("r0", "r1"):
-        fleet.cut_off(key)
+        fleet.stall_links(key)
     fleet.run(EXPIRY)
     assert fleet.serving() == {}
     assert fleet.change(b"second", voter="r2", seconds=3.0) == "unknown"
     fleet.heal()
     fleet.run(SETTLE_TIME)
-    epoch = fleet.newest
+    epoch = fleet.newest_epoch
     assert_healthy(fleet, epoch)
 
 
@@ -457,13 +460,13 @@
 
         def cut_off(fleet: FleetWorld = fleet) -> None:
             for key in ("r0", "r1"):
-                fleet.cut_off(key)
+                fleet.stall_links(key)
 
         fleet.when(moment(fleet), cut_off)
         fleet.world.at(fleet.world.now() + 3 * LEASE, fleet.heal)
         assert fleet.change(b"second") in ("in force", "aborted")
         fleet.run(SETTLE_TIME)
-        assert_healthy(fleet, fleet.newest)
+        assert_healthy(fleet, fleet.newest_epoch)
 
 
 # ---- routers start and leave
@@ -504,7 +507,7 @@
         fleet = settled_fleet(54)
         fleet.kill("r7")
         fleet.run(SETTLE_TIME)
-        fleet.routers["r7"].reasons = ("no",)
+        fleet.routers["r7"].refusal_reasons = ("no",)
 
         def start(fleet: FleetWorld = fleet, delay: float = delay) -> None:
             fleet.world.at(fleet.world.now() + delay, lambda: fleet.start("r7"))
@@ -513,7 +516,7 @@
         result = fleet.change(b"second " + REFUSED)
         fleet.run(SETTLE_TIME)
         assert fleet.serving().get("r7") == (None if result == "in force" else 1)
-        assert fleet.breaks == []
+        assert fleet.violations == []
 
 
 # ---- all faults together
--- a/tests/test_fleet_planted.py
+++ b/tests/test_fleet_planted.py
@@ -52,7 +52,7 @@
     fleet = started_fleet(1)
     cut_links(fleet, "r4")
     result = fleet.change(b"second")
-    return fleet.breaks + ([] if result == "in force" else [result])
+    return fleet.violations + ([] if result == "in force" else [result])
 
 
 def router_without_answers() -> list[str]:
@@ -60,7 +60,7 @@
     fleet = started_fleet(2)
     cut_links(fleet, "r4", "back")
     result = fleet.change(b"second")
-    return fleet.breaks + ([] if result == "in force" else [result])
+    return fleet.violations + ([] if result == "in force" else [result])
 
 
 def slow_link_that_breaks() -> list[str]:
@@ -72,7 +72,7 @@
     cut_links(fleet, "r4", "there")
     fleet.run(1.0)
     result = fleet.change(b"second")
-    return fleet.breaks + ([] if result == "in force" else [result])
+    return fleet.violations + ([] if result == "in force" else [result])
 
 
 def clocks_that_drift_apart() -> list[str]:
@@ -82,18 +82,18 @@
         fleet = started_fleet(4, r0=1.005, r1=1.005, r2=1.005, r4=0.995)
         fleet.world.at(fleet.world.now() + 0.2 + 0.01 * step, lambda fleet=fleet: cut_links(fleet, "r4"))  # type: ignore[misc]
         fleet.change(b"second")
-        found += fleet.breaks
+        found += fleet.violations
     return found
 
 
 def router_that_refuses() -> list[str]:
     """A router refuses the policy: the change is aborted, and all routers go on with the first epoch."""
     fleet = started_fleet(5)
-    fleet.routers["r4"].reasons = ("no",)
+    fleet.routers["r4"].refusal_reasons = ("no",)
     result = fleet.change(b"second " + REFUSED)
     fleet.run(5.0)
     served = fleet.serving()
-    return fleet.breaks + (
+    return fleet.violations + (
         [] if result == "aborted" and served == dict.fromkeys(fleet.names, 1) else [result]
     )
 
@@ -105,13 +105,13 @@
         fleet = started_fleet(6)
         fleet.kill("r4")
         fleet.run(6.0)
-        fleet.routers["r4"].reasons = ("no",)
+        fleet.routers["r4"].refusal_reasons = ("no",)
         fleet.world.at(fleet.world.now() + 0.2 + delay, lambda fleet=fleet: fleet.start("r4"))  # type: ignore[misc]
         fleet.change(b"second " + REFUSED)
         fleet.run(5.0)
-        if fleet.newest == 2 and fleet.serving().get("r4"):
+        if fleet.newest_epoch == 2 and fleet.serving().get("r4"):
             found.append("it serves")
-        found += fleet.breaks
+        found += fleet.violations
     return found
 
 
@@ -119,15 +119,15 @@
     """A change is proposed again to other voters after its end: each answers "in force", and it is made once."""
     fleet = started_fleet(7)
     answers: list[Any] = []
-    fleet.ask("r0", Show(), answers.append)
+    fleet.send_request("r0", Show(), answers.append)
     fleet.run(0.5)
     shown = answers.pop()
     assert isinstance(shown, Shown) and shown.state is not None
     for voter_name in ("r0", "r1", "r2", "r1"):
         wanted = Set(f"{shown.state.version}-again", b"second", 10.0)
-        fleet.ask(voter_name, wanted, lambda answer: answers.append(fleet.told(answer)))
+        fleet.send_request(voter_name, wanted, lambda answer: answers.append(fleet.record_answer(answer)))
         fleet.run(4.0)
-    return fleet.breaks + [answer for answer in answers if answer != "in force"]
+    return fleet.violations + [answer for answer in answers if answer != "in force"]
 
 
 def disk_rolled_back() -> list[str]:
@@ -143,10 +143,14 @@
     fleet.start("r0")
     fleet.start("r2")
     fleet.run(15.0)
-    found = list(fleet.breaks) + ([] if result == "in force" else [result])
+    found = list(fleet.violations) + ([] if result == "in force" else [result])
     fleet.start("r1")
     fleet.run(10.0)
-    return found + fleet.breaks + ([] if fleet.serving() == dict.fromkeys(fleet.names, 2) else ["not served"])
+    return (
+        found
+        + fleet.violations
+        + ([] if fleet.serving() == dict.fromkeys(fleet.names, 2) else ["not served"])
+    )
 
 
 def voters_that_restart(times: int = 12) -> list[str]:
@@ -165,7 +169,7 @@
         fleet.world.at(fleet.world.now() + 0.4 + 0.15 * step, restart_voters)
         fleet.change(b"second")
         fleet.run(6.0)
-        found += fleet.breaks
+        found += fleet.violations
     return found
 
 
@@ -178,7 +182,7 @@
         fleet.run(0.05)
         fleet.change(b"second", patience=patience)
         fleet.run(10.0)
-        found += fleet.breaks
+        found += fleet.violations
     return found
 
 
@@ -190,7 +194,7 @@
             fleet.relays[name, other].fault(way, "drop")
     fleet.change(b"left", voter="r1", seconds=15.0)
     fleet.change(b"right", voter="r0", seconds=15.0)
-    return fleet.breaks
+    return fleet.violations
 
 
 SCENARIOS = (
--- a/tests/test_fleet_world.py
+++ b/tests/test_fleet_world.py
@@ -1,6 +1,6 @@
 """A fleet in virtual time: changes of policy while members are killed or cut off, and clocks and disks go wrong.
 
-`fleet.breaks` lists the invariants that were broken; they are described in rig/world_judge.py.
+`fleet.violations` lists the invariants that were broken; they are described in rig/world_judge.py.
 """
 
 from __future__ import annotations
@@ -28,17 +28,17 @@
     assert fleet.world.now() - begin < 3.0
     fleet.run(0.5)
     assert fleet.serving() == dict.fromkeys(fleet.names, 2)
-    assert fleet.breaks == [] and fleet.cases["never mixed: adopted while another served"] > 0
+    assert fleet.violations == [] and fleet.case_counts["never mixed: adopted while another served"] > 0
 
 
 def test_a_change_is_aborted_if_one_router_refuses() -> None:
     fleet = settled_fleet(2)
-    fleet.routers["r4"].reasons = ("$.classes: not in this build",)
+    fleet.routers["r4"].refusal_reasons = ("$.classes: not in this build",)
     assert fleet.change(b"second " + REFUSED) == "aborted"
     fleet.run(5.0)
     assert fleet.serving() == dict.fromkeys(fleet.names, 1)
     assert fleet.change(b"third") == "in force"
-    assert fleet.breaks == []
+    assert fleet.violations == []
 
 
 def test_a_router_that_was_down_during_a_change_serves_the_new_policy() -> None:
@@ -48,7 +48,7 @@
     fleet.start("r4")
     fleet.run(3.0)
     assert fleet.serving() == dict.fromkeys(fleet.names, 2)
-    assert fleet.breaks == []
+    assert fleet.violations == []
 
 
 @pytest.mark.parametrize("way", [None, "there", "back"])
@@ -63,7 +63,7 @@
         fleet.relays["r4", voter].heal()
     fleet.run(10.0)
     assert fleet.serving() == dict.fromkeys(fleet.names, 2)
-    assert fleet.breaks == []
+    assert fleet.violations == []
 
 
 def test_a_change_does_not_take_hold_without_a_majority_of_voters() -> None:
@@ -73,7 +73,7 @@
     assert fleet.change(b"second", voter="r2", seconds=15.0) == "unknown"
     fleet.start("r0")
     fleet.run(20.0)
-    assert fleet.breaks == []
+    assert fleet.violations == []
 
 
 def test_all_voters_restart_at_once() -> None:
@@ -87,7 +87,7 @@
     fleet.run(6.0)
     assert fleet.serving() == dict.fromkeys(fleet.names, 2)
     assert fleet.change(b"third") == "in force"
-    assert fleet.breaks == []
+    assert fleet.violations == []
 
 
 @pytest.mark.parametrize("state", ["gone", "yesterday"])
@@ -97,13 +97,13 @@
         assert fleet.change(b"policy %d" % number) == "in force"
     fleet.kill("r0")
     disk = fleet.routers["r0"].disk
-    disk.content = None if state == "gone" else disk.older[2]
+    disk.content = None if state == "gone" else disk.history[2]
     fleet.start("r0")
     fleet.run(2.0)
     assert fleet.change(b"last", voter="r0") == "in force"
     fleet.run(1.0)
     assert fleet.serving() == dict.fromkeys(fleet.names, 5)
-    assert fleet.breaks == []
+    assert fleet.violations == []
 
 
 def test_a_restarted_voter_does_not_vote_while_another_one_is_down() -> None:
@@ -117,7 +117,7 @@
     fleet.start("r0")
     fleet.run(10.0)
     assert fleet.serving() == dict.fromkeys(fleet.names, 1)
-    assert fleet.breaks == []
+    assert fleet.violations == []
 
 
 def test_a_voter_whose_disk_fails_while_it_rejoins_votes_once_the_disk_works() -> None:
@@ -127,11 +127,11 @@
     disk.content, disk.fault = b"torn", "EIO"
     fleet.start("r2")
     fleet.run(1.0)
-    assert not fleet.votes("r2")
+    assert not fleet.is_voting("r2")
     disk.fault = ""
     fleet.run(10.0)
-    assert fleet.votes("r2")
-    assert fleet.breaks == []
+    assert fleet.is_voting("r2")
+    assert fleet.violations == []
 
 
 def test_a_second_router_of_the_same_name_has_to_end() -> None:
@@ -140,12 +140,12 @@
     second = fleet.add_router("r4 twice", name="r4")
     fleet.start("r4 twice")
     fleet.run(3.0)
-    assert "is here already" in second.ousted
+    assert "is here already" in second.name_conflict_reason
     assert fleet.serving()["r4"] == 1
     fleet.kill("r4")
     fleet.start("r4")
     fleet.run(3.0)
-    assert fleet.serving() == dict.fromkeys(fleet.names, 1) and not fleet.routers["r4"].ousted
+    assert fleet.serving() == dict.fromkeys(fleet.names, 1) and not fleet.routers["r4"].name_conflict_reason
 
 
 @pytest.mark.parametrize("way", [None, "there", "back"])
@@ -161,14 +161,14 @@
             for key in fleet.members:
                 fleet.start(key)
             fleet.run(6.0)
-            fleet.cut_off(member, way=way)
+            fleet.stall_links(member, direction=way)
             fleet.run(stalled_before)
             fleet.kill(member)
             fleet.start(member)
             fleet.run(stalled_after)
             fleet.heal()
             fleet.run(6.0)
-            assert fleet.members[member].ousted == "", (stalled_before, stalled_after)
+            assert fleet.members[member].name_conflict_reason == "", (stalled_before, stalled_after)
             assert fleet.serving() == dict.fromkeys(fleet.names, 1), (stalled_before, stalled_after)
 
 
@@ -181,7 +181,7 @@
             fleet.start(key)
         fleet.run(6.0)
         if stalled:
-            fleet.cut_off(member)
+            fleet.stall_links(member)
         for _ in range(3):
             fleet.run(pause)
             fleet.kill(member)
@@ -189,7 +189,7 @@
         fleet.run(0.2)
         fleet.heal()
         fleet.run(8.0)
-        assert fleet.members[member].ousted == "", stalled
+        assert fleet.members[member].name_conflict_reason == "", stalled
         assert fleet.serving() == dict.fromkeys(fleet.names, 1), stalled
 
 
@@ -210,7 +210,7 @@
         fleet.run(4.0)
         assert fleet.change(b"second") == "in force"
         fleet.run(3.0)
-        assert fleet.breaks == [], step
+        assert fleet.violations == [], step
 
 
 @pytest.mark.parametrize("seeds", [range(place, place + 10) for place in range(0, 40, 10)])
