--- a/banklift/rig/capacity_policy.py
+++ b/banklift/rig/capacity_policy.py
@@ -61,7 +61,7 @@
 
 def _measure_change(size: int, rounds: int) -> tuple[float, float]:
     """Processor seconds of a router's check of a policy, and of its change to the policy."""
-    config = site.site()
+    config = site.parsed_config()
     text = policy_text(config, size)
     machine = build.machine(config, 1)
     machine.handle(0.0, build.roster(config, config.groups, 0.0))
--- a/banklift/rig/capacity_real.py
+++ b/banklift/rig/capacity_real.py
@@ -150,7 +150,7 @@
 async def real_fleet(folder: Path) -> AsyncIterator[RealFleet]:
     """A fleet whose voters and aggregators listen. All processes end with the block. Errors: as `RealFleet.start`."""
     async with anyio.create_task_group() as tasks:
-        stand = Stand(site.site(), SocketEnv(tasks))
+        stand = Stand(site.parsed_config(), SocketEnv(tasks))
         fleet = RealFleet(folder, stand)
         try:
             await fleet.start([*fleet.voters, *fleet.aggregators])
--- a/banklift/rig/processes.py
+++ b/banklift/rig/processes.py
@@ -33,7 +33,7 @@
 from banklift.rig.judge import KEY_FAMILIES
 from banklift.rig.operator import Operator
 from banklift.rig.process_faults import ProcessFaults, write_faults
-from banklift.rig.relay import BACK, THERE, Relay
+from banklift.rig.relay import FROM_TARGET, TO_TARGET, Relay
 from banklift.rig.trace import Entry, Trace
 
 FLEET = "rig"
@@ -75,7 +75,7 @@
         self.voters = names[:voter_count]
         self.time_factor = time_factor
         self.trace = Trace()
-        self.stand = Stand(site.site(time_factor), env, seed, self._tap)
+        self.stand = Stand(site.parsed_config(time_factor), env, seed, self._tap)
         self.roles = {entry["member"]: entry["role"] for entry in self.stand.describe()}
         self.aggregators = list(aggregators)
         listeners = (*self.voters, *aggregators)
@@ -274,7 +274,7 @@
         described = f"{fault} {value:g} {direction or 'both'} {' '.join(others)}".rstrip()
         self.record("fault", router=name, what=described)
         for relay in self.links(name, others):
-            for each in (THERE, BACK) if direction is None else (direction,):
+            for each in (TO_TARGET, FROM_TARGET) if direction is None else (direction,):
                 relay.fault(each, fault, value)
 
     def heal(self, name: str | None = None) -> None:
--- a/banklift/rig/relay.py
+++ b/banklift/rig/relay.py
@@ -22,7 +22,8 @@
 from banklift.net.env import Env, Handle, Listener, Peer
 
 FAULTS = ("drop", "stall", "delay", "throttle", "flip", "cut")  # each is a field of `DirectionFaults`
-THERE, BACK = "there", "back"  # directions: from who made the connection to the target, and from the target
+# directions: from who made the connection to the target, and from the target
+TO_TARGET, FROM_TARGET = "there", "back"
 TARGET_POLL_INTERVAL = 0.001  # seconds between tries to deliver while the target's connection is opening
 
 
@@ -129,7 +130,7 @@
         source: str | None = None,
     ) -> None:
         self.env, self.target, self.random, self.source = env, target, Random(seed), source
-        self.directions = {THERE: DirectionFaults(), BACK: DirectionFaults()}
+        self.directions = {TO_TARGET: DirectionFaults(), FROM_TARGET: DirectionFaults()}
         self.refusing = False
         self.connections: set[_Connection] = set()
         self.counts: dict[str, int] = {}  # how often each fault took effect
@@ -140,21 +141,21 @@
         """Note that a fault took effect once."""
         self.counts[fault] = self.counts.get(fault, 0) + 1
 
-    def fault(self, way: str, name: str, value: float = 1.0) -> None:
+    def fault(self, direction: str, name: str, value: float = 1.0) -> None:
         """Set one fault of one direction. A value of 0 ends it; the end of a stall delivers what was held back."""
         value_type = type(getattr(DirectionFaults(), name))
-        setattr(self.directions[way], name, value_type(value))
+        setattr(self.directions[direction], name, value_type(value))
         if name == "stall" and not value:
             for connection in list(self.connections):
-                connection.streams[way].heal()
+                connection.streams[direction].heal()
 
     def refuse(self, refusing: bool) -> None:
         """Close all connections and accept no new ones, or accept them again."""
         self.refusing = refusing
         if refusing:
-            self.end()
+            self.close_connections()
 
-    def end(self) -> None:
+    def close_connections(self) -> None:
         """Close every connection."""
         for connection in list(self.connections):
             self.count("end")
@@ -171,7 +172,7 @@
     def close(self) -> None:
         """Stop listening, and close every connection."""
         self.listener.close()
-        self.end()
+        self.close_connections()
 
     def _accept(self) -> Peer:
         return _SourcePeer(_Connection(self))
@@ -187,14 +188,16 @@
         self.target_is_open = False
         self.closed = False
         self.streams = {
-            THERE: Stream(
+            TO_TARGET: Stream(
                 relay,
-                relay.directions[THERE],
+                relay.directions[TO_TARGET],
                 lambda: self.target if self.target_is_open else None,
                 self.close,
                 lambda: self.closed,
             ),
-            BACK: Stream(relay, relay.directions[BACK], lambda: self.source, self.close, lambda: self.closed),
+            FROM_TARGET: Stream(
+                relay, relay.directions[FROM_TARGET], lambda: self.source, self.close, lambda: self.closed
+            ),
         }
 
     def close(self) -> None:
@@ -226,13 +229,13 @@
 
     def data(self, data: bytes) -> None:
         if not self.connection.closed:
-            self.connection.streams[THERE].receive(data)
+            self.connection.streams[TO_TARGET].receive(data)
 
     def eof(self) -> None:
-        self.connection.streams[THERE].end()
+        self.connection.streams[TO_TARGET].end()
 
     def lost(self, reason: str) -> None:
-        self.connection.streams[THERE].end()
+        self.connection.streams[TO_TARGET].end()
 
 
 class _TargetPeer(Peer):
@@ -246,13 +249,13 @@
 
     def data(self, data: bytes) -> None:
         if not self.connection.closed:
-            self.connection.streams[BACK].receive(data)
+            self.connection.streams[FROM_TARGET].receive(data)
 
     def eof(self) -> None:
-        self.connection.streams[BACK].end()
+        self.connection.streams[FROM_TARGET].end()
 
     def lost(self, reason: str) -> None:
         if not self.connection.target_is_open:
             self.connection.close()
         else:
-            self.connection.streams[BACK].end()
+            self.connection.streams[FROM_TARGET].end()
--- a/banklift/rig/schedule.py
+++ b/banklift/rig/schedule.py
@@ -12,9 +12,9 @@
 
 from banklift.fleet.messages import Message, Set, Show, Shown
 from banklift.fleet.state import Result
-from banklift.rig.relay import BACK, FAULTS, THERE
+from banklift.rig.relay import FAULTS, FROM_TARGET, TO_TARGET
 from banklift.rig.world import FleetWorld, Router
-from banklift.rig.world_judge import REFUSED
+from banklift.rig.world_judge import REFUSAL_MARKER
 
 LEASE = 4.0  # seconds that voters grant
 FAULT_PERIOD = 40.0  # seconds in which faults are injected
@@ -35,8 +35,8 @@
     """The result of the schedule of one seed."""
 
     seed: int
-    faults: list[str] = field(default_factory=list)  # violations of invariants, and what did not recover
-    cases: dict[str, int] = field(default_factory=dict)  # how often each case came up
+    failures: list[str] = field(default_factory=list)  # violations of invariants, and what did not recover
+    case_counts: dict[str, int] = field(default_factory=dict)  # how often each case came up
 
 
 class Schedule:
@@ -95,7 +95,7 @@
     def _send_change(self, number: int, version: int) -> None:
         """Request a change from a random voter; sometimes twice, which may be from two voters."""
         random, fleet = self.random, self.fleet
-        text = b"policy %d" % number + (b" " + REFUSED if random.random() < 0.15 else b"")
+        text = b"policy %d" % number + (b" " + REFUSAL_MARKER if random.random() < 0.15 else b"")
         message = Set(f"{version}-n{number}", text, random.uniform(2.0, 12.0), random.random() < 0.1)
         for _ in range(random.choice((1, 1, 2))):
             fleet.send_request(random.choice(fleet.voters), message, fleet.record_answer)
@@ -170,7 +170,7 @@
     def _fault_link(self) -> None:
         """Inject a fault into one direction of one link for a while."""
         relay = self.random.choice(list(self.fleet.relays.values()))
-        fault, way = self.random.choice(FAULTS), self.random.choice((THERE, BACK))
+        fault, way = self.random.choice(FAULTS), self.random.choice((TO_TARGET, FROM_TARGET))
         values = {"delay": self.random.uniform(0.0, MAX_DELAY), "throttle": THROTTLE}
         relay.fault(way, fault, values.get(fault, 1.0))
         self.fleet.count_case(f"events: {fault}")
@@ -181,14 +181,14 @@
         fleet, random = self.fleet, self.random
         key = random.choice(list(fleet.members))
         others = random.choice(((), fleet.voters, tuple(fleet.aggregators)))
-        way = random.choice((None, THERE, BACK))
+        way = random.choice((None, TO_TARGET, FROM_TARGET))
         fleet.stall_links(key, others, way)
         fleet.count_case("events: cut off")
         self._later(MAX_LINK_FAULT_DURATION, lambda: fleet.heal(key))
 
     def _delay_member(self) -> None:
         """Delay all links of one member in one direction."""
-        key, way = self.random.choice(list(self.fleet.members)), self.random.choice((THERE, BACK))
+        key, way = self.random.choice(list(self.fleet.members)), self.random.choice((TO_TARGET, FROM_TARGET))
         seconds = self.random.uniform(0.0, MAX_DELAY)
         for relay in self.fleet.links(key):
             relay.fault(way, "delay", seconds)
--- a/banklift/rig/seeds.py
+++ b/banklift/rig/seeds.py
@@ -28,11 +28,11 @@
         )
 
 
-def total(reports: Iterable[Report]) -> Counter[str]:
+def sum_cases(reports: Iterable[Report]) -> Counter[str]:
     """Sum the counts of cases over all seeds."""
     cases: Counter[str] = Counter()
     for report in reports:
-        cases.update(report.cases)
+        cases.update(report.case_counts)
     return cases
 
 
@@ -47,10 +47,10 @@
     for seed in range(options.first, options.first + options.count):
         report = play(seed, aggregated=not options.direct)
         reports.append(report)
-        for failure in report.faults:
+        for failure in report.failures:
             print(f"seed {seed}: {failure}", flush=True)
-    failed_seeds = [report.seed for report in reports if report.faults]
-    for name, count in sorted(total(reports).items()):
+    failed_seeds = [report.seed for report in reports if report.failures]
+    for name, count in sorted(sum_cases(reports).items()):
         print(f"{count:10} {name}")
     print(f"{len(reports)} seeds, {len(failed_seeds)} failed {failed_seeds or ''}")
     return 1 if failed_seeds else 0
--- a/banklift/rig/site.py
+++ b/banklift/rig/site.py
@@ -60,6 +60,6 @@
     }
 
 
-def site(time_factor: float = 1.0) -> Config:
+def parsed_config(time_factor: float = 1.0) -> Config:
     """`config` as the program's own type."""
     return msgspec.convert(config(time_factor), Config)
--- a/banklift/rig/world.py
+++ b/banklift/rig/world.py
@@ -27,10 +27,10 @@
 from banklift.net.fleet import FleetHost
 from banklift.rig.node_env import NodeEnv
 from banklift.rig.operator import Operator
-from banklift.rig.relay import BACK, THERE, Relay
-from banklift.rig.world_judge import REFUSED, LeaseGap, NoResult, Process, ServingState, WorldJudge
+from banklift.rig.relay import FROM_TARGET, TO_TARGET, Relay
+from banklift.rig.world_judge import REFUSAL_MARKER, LeaseGap, NoResult, Process, ServingState, WorldJudge
 
-__all__ = ["REFUSED", "FleetWorld"]
+__all__ = ["REFUSAL_MARKER", "FleetWorld"]
 
 FLEET = "rig"
 MIN_LATENCY = 0.001  # seconds that a message takes over a link; each takes up to half as much again
@@ -76,7 +76,7 @@
 
     disk: Disk = field(default_factory=Disk)
     aggregators: tuple[str, ...] = ()  # names of those that it leases from; empty: it leases from the voters
-    refusal_reasons: tuple[str, ...] = ()  # for which it refuses every policy that contains `REFUSED`
+    refusal_reasons: tuple[str, ...] = ()  # for which it refuses every policy that contains `REFUSAL_MARKER`
     serving_state: ServingState | None = None  # of its last start
 
     @property
@@ -272,7 +272,7 @@
             incarnation,
             self.random.randrange(2**32),
             b"first",
-            lambda text: router.refusal_reasons if REFUSED in text else (),
+            lambda text: router.refusal_reasons if REFUSAL_MARKER in text else (),
             record,
             router.disk.content is None,
         )
@@ -367,7 +367,7 @@
         """Stall all links of a member, or those with `others`. `direction`: "there" (from the member that made the
         link) or "back"; by default both."""
         for relay in self.links(key, others):
-            for each in (THERE, BACK) if direction is None else (direction,):
+            for each in (TO_TARGET, FROM_TARGET) if direction is None else (direction,):
                 relay.fault(each, "stall")
 
     def heal(self, key: str | None = None) -> None:
--- a/banklift/rig/world_judge.py
+++ b/banklift/rig/world_judge.py
@@ -24,7 +24,7 @@
 from banklift.fleet.register import majority
 from banklift.fleet.state import Outcome, Result, Stage, digest
 
-REFUSED = b"refused here"  # routers with reasons refuse every policy whose text contains this
+REFUSAL_MARKER = b"refused here"  # routers with reasons refuse every policy whose text contains this
 ROUNDING_TOLERANCE = 1e-6  # seconds by which a lease may end late, as times are converted between clocks
 EPOCHS_KEPT = 4  # newest epochs of which each holder's grants are remembered
 
@@ -51,11 +51,11 @@
     router: str
     begin: float  # true time
     end: float  # true time; of a gap that goes on: now
-    before: int  # epoch of the lease that ended
-    after: int  # epoch of the next lease; 0 if there is none
+    epoch_before: int  # epoch of the lease that ended
+    epoch_after: int  # epoch of the next lease; 0 if there is none
 
     @property
-    def length(self) -> float:
+    def duration(self) -> float:
         """Seconds."""
         return self.end - self.begin
 
@@ -66,7 +66,7 @@
 
     process: Process
     is_voter: bool
-    refusal_reasons: tuple[str, ...]  # for which it refuses every policy that contains `REFUSED`
+    refusal_reasons: tuple[str, ...]  # for which it refuses every policy that contains `REFUSAL_MARKER`
     epoch: int = 0  # of the policy that it has adopted
     lease_end: float = -math.inf  # true time
     lease_epoch: int = 0  # the epoch when `lease_end` was set
@@ -279,7 +279,7 @@
             if not router.serves(now):
                 continue
             self.count_case("everywhere or nowhere: served when a change was agreed on")
-            if router.refusal_reasons and REFUSED in text:
+            if router.refusal_reasons and REFUSAL_MARKER in text:
                 self.report(
                     now, "everywhere or nowhere", f"{change} was agreed on, and {router.name} refuses it"
                 )
--- a/tests/test_aggregator_planted.py
+++ b/tests/test_aggregator_planted.py
@@ -21,7 +21,7 @@
 from banklift.fleet.parent_lease import ParentLease, Window
 from banklift.fleet.state import Stage
 from banklift.fleet.sub_lease_table import SubLease, SubLeaseTable, Terms
-from banklift.rig.world import REFUSED, FleetWorld
+from banklift.rig.world import REFUSAL_MARKER, FleetWorld
 
 Patch = pytest.MonkeyPatch
 LEASE = 4.0  # seconds
@@ -181,7 +181,7 @@
     """A router refuses the policy: the change is aborted, and the old policy stays in force."""
     fleet = settled_fleet(8, TWO_AGGREGATORS)
     fleet.routers["r6"].refusal_reasons = ("no",)
-    found = violations(fleet, fleet.change(b"second " + REFUSED), "aborted")
+    found = violations(fleet, fleet.change(b"second " + REFUSAL_MARKER), "aborted")
     return found + ([] if fleet.serving() == dict.fromkeys(fleet.names, 1) else ["not all serve"])
 
 
@@ -197,7 +197,7 @@
 
     fleet.stall_links("r3")
     at_stage(fleet, Stage.CHECKING, lambda: fleet.world.at(fleet.world.now() + 0.2, restart))
-    return violations(fleet, fleet.change(b"second " + REFUSED), "aborted")
+    return violations(fleet, fleet.change(b"second " + REFUSAL_MARKER), "aborted")
 
 
 def refusal_after_restart_is_lost() -> list[str]:
@@ -218,7 +218,7 @@
 
         fleet.stall_links("r3")
         at_stage(fleet, Stage.CHECKING, restart_later)
-        fleet.change(b"second " + REFUSED)
+        fleet.change(b"second " + REFUSAL_MARKER)
         found += fleet.violations
     return found
 
@@ -238,7 +238,7 @@
 
     fleet.stall_links(cut_off_router)
     at_stage(fleet, Stage.CHECKING, lambda: fleet.world.at(fleet.world.now() + 0.2, restart))
-    fleet.change(b"second " + REFUSED)
+    fleet.change(b"second " + REFUSAL_MARKER)
     return fleet.violations
 
 
@@ -253,7 +253,7 @@
             fleet.world.at(fleet.world.now() + delay, lambda: fleet.start("r6"))
 
         at_stage(fleet, Stage.CHECKING, start_later)
-        result = fleet.change(b"second " + REFUSED)
+        result = fleet.change(b"second " + REFUSAL_MARKER)
         fleet.run(SETTLE_TIME)
         found += fleet.violations
         if result == "in force" and "r6" in fleet.serving():
--- a/tests/test_aggregator_world.py
+++ b/tests/test_aggregator_world.py
@@ -12,16 +12,16 @@
 import pytest
 
 from banklift.fleet.state import Stage
-from banklift.rig.relay import BACK, THERE
-from banklift.rig.seeds import play, total
-from banklift.rig.world import REFUSED, FleetWorld
+from banklift.rig.relay import FROM_TARGET, TO_TARGET
+from banklift.rig.seeds import play, sum_cases
+from banklift.rig.world import REFUSAL_MARKER, FleetWorld
 
 LEASE = 4.0  # seconds
 SETTLE_TIME = 6.0  # seconds after a start until voters know all leases
 CHANGE_TIME = 3.0  # seconds within which a change takes hold when all members are up
 SWITCH_LAPSE = 0.05  # seconds: longest lapse of a router in the switch to another epoch
 EXPIRY = LEASE * 1.03  # seconds after which the leases of a dead member have ended on all clocks
-WAYS = [None, THERE, BACK]
+WAYS = [None, TO_TARGET, FROM_TARGET]
 SEEDS_IN_CI = 24
 
 
@@ -98,8 +98,8 @@
         assert fleet.change(b"second") == "in force"
         fleet.run(1.0)
         lapses = fleet.lease_gaps(begin)
-        assert {(lapse.before, lapse.after) for lapse in lapses} <= {(1, 2)}
-        assert max((lapse.length for lapse in lapses), default=0.0) < SWITCH_LAPSE, lapses
+        assert {(lapse.epoch_before, lapse.epoch_after) for lapse in lapses} <= {(1, 2)}
+        assert max((lapse.duration for lapse in lapses), default=0.0) < SWITCH_LAPSE, lapses
 
 
 def test_voters_show_aggregators_and_aggregators_show_their_routers() -> None:
@@ -124,14 +124,14 @@
     assert aggregated_routers(fleet) == ["r5", "r6", "r7", "r8"]
     assert fleet.change(b"second") == "in force"
     fleet.routers["r3"].refusal_reasons = ("direct: no",)
-    assert fleet.change(b"third " + REFUSED) == "aborted"
+    assert fleet.change(b"third " + REFUSAL_MARKER) == "aborted"
     assert_healthy(fleet, 2)
 
 
 def test_the_operator_gets_the_reason_of_a_refusal() -> None:
     fleet = settled_fleet(4)
     fleet.routers["r7"].refusal_reasons = ("$.classes: not in this build",)
-    assert fleet.change(b"second " + REFUSED) == "aborted"
+    assert fleet.change(b"second " + REFUSAL_MARKER) == "aborted"
     (outcome,) = fleet.outcomes.values()
     assert outcome.reasons == ("r7: $.classes: not in this build",)
     assert fleet.serving() == dict.fromkeys(fleet.names, 1)
@@ -142,7 +142,7 @@
     fleet = settled_fleet(5)
     assert fleet.change(b"second", dry=True) == "fine"
     fleet.routers["r6"].refusal_reasons = ("no",)
-    assert fleet.change(b"third " + REFUSED, dry=True) == "refused"
+    assert fleet.change(b"third " + REFUSAL_MARKER, dry=True) == "refused"
     assert list(fleet.outcomes.values())[-1].reasons == ("r6: no",)
     assert fleet.serving() == dict.fromkeys(fleet.names, 1)
     assert fleet.lease_gaps() == []
@@ -207,8 +207,8 @@
     fleet.run(0.5)
     assert fleet.serving() == dict.fromkeys(fleet.names, 2)
     lapses = fleet.lease_gaps(begin)  # only those of the switch
-    assert {(lapse.before, lapse.after) for lapse in lapses} <= {(1, 2)}
-    assert max((lapse.length for lapse in lapses), default=0.0) < SWITCH_LAPSE
+    assert {(lapse.epoch_before, lapse.epoch_after) for lapse in lapses} <= {(1, 2)}
+    assert max((lapse.duration for lapse in lapses), default=0.0) < SWITCH_LAPSE
     fleet.start("a0")
     assert_healthy(fleet, 2)
 
@@ -293,7 +293,7 @@
     for key in misdirected:
         relay = fleet.relays[key, "a0"]
         relay.target = lambda: fleet.ports["a0 twice"]
-        relay.end()
+        relay.close_connections()
     fleet.run(3.0)
     assert "is here already" in second.name_conflict_reason
     assert fleet.change(b"second") == "in force"
@@ -364,7 +364,7 @@
     assert fleet.world.now() - begin < EXPIRY + CHANGE_TIME
     fleet.run(LEASE)
     assert fleet.serving() == dict.fromkeys(fleet.names, 2)
-    assert [lapse for lapse in fleet.lease_gaps(begin) if lapse.before == lapse.after] == []
+    assert [lapse for lapse in fleet.lease_gaps(begin) if lapse.epoch_before == lapse.epoch_after] == []
     fleet.heal()
     assert_healthy(fleet, 2)
 
@@ -420,7 +420,7 @@
         fleet.world.at(fleet.world.now() + delay, lambda: fleet.stall_links(router, others=("a0",)))
 
     fleet.when(checking(fleet), move)
-    assert fleet.change(b"second " + REFUSED) == "aborted"
+    assert fleet.change(b"second " + REFUSAL_MARKER) == "aborted"
     assert f"{router}: no" in list(fleet.outcomes.values())[-1].reasons
     fleet.heal()
     assert_healthy(fleet, 1)
@@ -513,7 +513,7 @@
             fleet.world.at(fleet.world.now() + delay, lambda: fleet.start("r7"))
 
         fleet.when(checking(fleet), start)
-        result = fleet.change(b"second " + REFUSED)
+        result = fleet.change(b"second " + REFUSAL_MARKER)
         fleet.run(SETTLE_TIME)
         assert fleet.serving().get("r7") == (None if result == "in force" else 1)
         assert fleet.violations == []
@@ -526,8 +526,8 @@
 def test_random_faults_of_all_kinds(seeds: range) -> None:
     """To run more seeds: `python -m banklift.rig.seeds --from 0 --count 200`."""
     reports = [play(seed, aggregated=True) for seed in seeds]
-    assert {report.seed: report.faults for report in reports if report.faults} == {}
-    cases = total(reports)
+    assert {report.seed: report.failures for report in reports if report.failures} == {}
+    cases = sum_cases(reports)
     for case in (
         "told in force",
         "never mixed: adopted while another served",
--- a/tests/test_fleet_planted.py
+++ b/tests/test_fleet_planted.py
@@ -21,7 +21,7 @@
 from banklift.fleet.messages import LeaseGrant, LeaseRequest, Set, Show, Shown
 from banklift.fleet.policies import PolicyCache
 from banklift.fleet.register import Record, Rejoining
-from banklift.rig.world import REFUSED, FleetWorld
+from banklift.rig.world import REFUSAL_MARKER, FleetWorld
 
 Patch = pytest.MonkeyPatch
 
@@ -90,7 +90,7 @@
     """A router refuses the policy: the change is aborted, and all routers go on with the first epoch."""
     fleet = started_fleet(5)
     fleet.routers["r4"].refusal_reasons = ("no",)
-    result = fleet.change(b"second " + REFUSED)
+    result = fleet.change(b"second " + REFUSAL_MARKER)
     fleet.run(5.0)
     served = fleet.serving()
     return fleet.violations + (
@@ -107,7 +107,7 @@
         fleet.run(6.0)
         fleet.routers["r4"].refusal_reasons = ("no",)
         fleet.world.at(fleet.world.now() + 0.2 + delay, lambda fleet=fleet: fleet.start("r4"))  # type: ignore[misc]
-        fleet.change(b"second " + REFUSED)
+        fleet.change(b"second " + REFUSAL_MARKER)
         fleet.run(5.0)
         if fleet.newest_epoch == 2 and fleet.serving().get("r4"):
             found.append("it serves")
--- a/tests/test_fleet_world.py
+++ b/tests/test_fleet_world.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from banklift.rig.seeds import play, total
-from banklift.rig.world import REFUSED, FleetWorld
+from banklift.rig.seeds import play, sum_cases
+from banklift.rig.world import REFUSAL_MARKER, FleetWorld
 
 
 def settled_fleet(seed: int, routers: int = 5, voters: int = 3) -> FleetWorld:
@@ -34,7 +34,7 @@
 def test_a_change_is_aborted_if_one_router_refuses() -> None:
     fleet = settled_fleet(2)
     fleet.routers["r4"].refusal_reasons = ("$.classes: not in this build",)
-    assert fleet.change(b"second " + REFUSED) == "aborted"
+    assert fleet.change(b"second " + REFUSAL_MARKER) == "aborted"
     fleet.run(5.0)
     assert fleet.serving() == dict.fromkeys(fleet.names, 1)
     assert fleet.change(b"third") == "in force"
@@ -217,8 +217,8 @@
 def test_random_faults_of_all_kinds(seeds: range) -> None:
     """To run more seeds: `python -m banklift.rig.seeds --direct --from 0 --count 200`."""
     reports = [play(seed, aggregated=False) for seed in seeds]
-    assert {report.seed: report.faults for report in reports if report.faults} == {}
-    cases = total(reports)
+    assert {report.seed: report.failures for report in reports if report.failures} == {}
+    cases = sum_cases(reports)
     for case in (
         "told in force",
         "never mixed: adopted while another served",
