--- a/banklift/balance.py
+++ b/banklift/balance.py
@@ -527,9 +527,9 @@
 
     def is_long_read(self, request_class: interface.RequestClass) -> bool:
         """Whether reads of a class take much longer than others and are kept to the first replicas."""
-        usual = self.usual_latency
+        usual_latency = self.usual_latency
         return request_class.need is Need.ANY and (
-            usual[request_class.name] > LONG_READ_LATENCY_FACTOR * min(usual.values())
+            usual_latency[request_class.name] > LONG_READ_LATENCY_FACTOR * min(usual_latency.values())
         )
 
     def route(self, pending: Pending) -> None:
@@ -639,12 +639,12 @@
                 or self.expected_latency(candidates[0]) < UNCROWDED_AIM_SHARE * pending.request_class.aim
             ):
                 break  # an uncrowded first candidate is taken without a probe of another
-            healthy = self.is_healthy(member)
-            awaits_report = healthy and self.awaits_report(member, min_position)
+            is_healthy = self.is_healthy(member)
+            awaits_report = is_healthy and self.awaits_report(member, min_position)
             if awaits_report and not (self.is_large_fleet and member.overloaded_at > member.last_report_at):
                 return None
             if (
-                healthy
+                is_healthy
                 and not awaits_report
                 and self.is_recent_enough(member, min_position)
                 and self.has_capacity(pending, member)
--- a/banklift/net/service.py
+++ b/banklift/net/service.py
@@ -208,24 +208,28 @@
 
 
 class DiscoveryHost:
-    """Runs a catalogue client (`client.CatalogueClient`) on connections of `env`. `tell` gets each new list of members,
-    `log` the failures."""
+    """Runs a catalogue client (`client.CatalogueClient`) on connections of `env`. `on_roster` gets each new list of
+    members, `log` the failures."""
 
     def __init__(
-        self, env: Env, core: client.CatalogueClient, tell: Callable[[ev.Roster], None], log: Log
+        self,
+        env: Env,
+        catalogue_client: client.CatalogueClient,
+        on_roster: Callable[[ev.Roster], None],
+        log: Log,
     ) -> None:
-        self.env, self.core, self.tell, self.log = env, core, tell, log
+        self.env, self.client, self.on_roster, self.log = env, catalogue_client, on_roster, log
         self.connection: _CatalogueConnection | None = None
         self.performing = False  # guards against recursion, as connections may call back at once
 
     def request_roster(self, watch: bool) -> None:
         """Watch the list of members from now on, or fetch the whole list once if `watch` is false."""
-        self.core.request_list(self.env.now(), watch)
+        self.client.request_list(self.env.now(), watch)
         self.perform_actions()
 
     def change_address(self, address: str) -> None:
         """Use the catalogue at `address` (host:port) from now on."""
-        self.core.use_address(self.env.now(), address)
+        self.client.use_address(self.env.now(), address)
         self.perform_actions()
 
     def perform_actions(self) -> None:
@@ -233,8 +237,8 @@
         if self.performing:
             return
         self.performing = True
-        while self.core.actions:
-            match self.core.actions.pop(0):
+        while self.client.actions:
+            match self.client.actions.pop(0):
                 case client.Connect(address):
                     self.connection = _CatalogueConnection(self)
                     self.connection.handle = self.env.connect(address, self.connection)
@@ -249,15 +253,15 @@
                     if reason:
                         self.log("discovery failed", {"reason": reason})
                     if roster is not None:
-                        self.tell(roster)
+                        self.on_roster(roster)
         self.performing = False
-        if self.core.due < float("inf"):
-            due = self.core.due
+        if self.client.due < float("inf"):
+            due = self.client.due
             self.env.at(due, lambda: self._on_timer(due))
 
     def _on_timer(self, due: float) -> None:
-        if self.core.due == due:
-            self.core.tick(self.env.now())
+        if self.client.due == due:
+            self.client.tick(self.env.now())
             self.perform_actions()
 
 
@@ -270,12 +274,12 @@
 
     def connected(self, handle: Handle) -> None:
         if self.owner.connection is self:
-            self.owner.core.connected(self.owner.env.now())
+            self.owner.client.connected(self.owner.env.now())
             self.owner.perform_actions()
 
     def data(self, data: bytes) -> None:
         if self.owner.connection is self:
-            self.owner.core.data(self.owner.env.now(), data)
+            self.owner.client.data(self.owner.env.now(), data)
             self.owner.perform_actions()
 
     def eof(self) -> None:
@@ -283,7 +287,7 @@
 
     def lost(self, reason: str) -> None:
         if self.owner.connection is self:
-            self.owner.core.lost(self.owner.env.now(), reason)
+            self.owner.client.lost(self.owner.env.now(), reason)
             self.owner.perform_actions()
 
 
--- a/banklift/proxy/machine.py
+++ b/banklift/proxy/machine.py
@@ -770,7 +770,7 @@
         except BrokenFrame as error:
             self._link_lost(link, f"protocol: {error}")
             return
-        clean = link.reader.is_at_frame_boundary
+        at_boundary = link.reader.is_at_frame_boundary
         for count, frame in enumerate(frames, 1):
             if link.id not in self.links:
                 return
@@ -790,12 +790,14 @@
                 self._probe_answered(link, frame)
             elif link.attempt is not None:
                 link.attempt.frames.append(frame)
-                last = clean and (count == len(frames) or all(map(self.wire.is_unsolicited, frames[count:])))
+                last = at_boundary and (
+                    count == len(frames) or all(map(self.wire.is_unsolicited, frames[count:]))
+                )
                 self._answer_received(link, link.attempt, last)
             else:  # an answer without a request: nothing on this link can be trusted
                 self._close_link(link)
                 return
-        if link.attempt is None and link.id in self.links and not clean:  # bytes without a request
+        if link.attempt is None and link.id in self.links and not at_boundary:  # bytes without a request
             # a probe's answer would be lost with the link
             if link is link.member.probe_link and link.member.pending_probes:
                 self._link_lost(link, "unexpected bytes after an answer")
@@ -804,7 +806,7 @@
         attempt = link.attempt
         if attempt is None:
             return
-        if not clean and not attempt.answer_started and self.wire.answer_completion_limit < math.inf:
+        if not at_boundary and not attempt.answer_started and self.wire.answer_completion_limit < math.inf:
             attempt.answer_started = True
             attempt.timers.append(
                 self.call_at(
@@ -826,13 +828,13 @@
         the link never came up: one attempt for each failed link.
         """
         was_up = link.up and not link.greeting_frames
-        attempt, probed = link.attempt, link is link.member.probe_link
+        attempt, is_probe_link = link.attempt, link is link.member.probe_link
         if link.up:
             self._close_link(link)
         else:
             self._forget_link(link)
         member = link.member
-        if probed:
+        if is_probe_link:
             self._fail_probes(member)
         if attempt is not None:
             result = attempt.pending.request.exchange.result_of_broken_link(
--- a/banklift/resp/proofs.py
+++ b/banklift/resp/proofs.py
@@ -133,14 +133,14 @@
             case Need.ANY:
                 return True
             case Need.BOUNDED:
-                floor = attempt.written_at - request.request_class.bound
+                required_position = attempt.written_at - request.request_class.bound
             case Need.SESSION if not request.must_see_all:
                 return request.must_reflect is None or self.tracks[request.group].covers(
                     fact, request.must_reflect
                 )
             case _:
-                floor = attempt.pending.arrived
-        return fact.position is not None and fact.position >= floor
+                required_position = attempt.pending.arrived
+        return fact.position is not None and fact.position >= required_position
 
     def learn(
         self, member: MemberRecord, reported: ReplicationStatus, asked: float, waiting: float | None
--- a/banklift/rig/exhaustive_voter.py
+++ b/banklift/rig/exhaustive_voter.py
@@ -288,8 +288,8 @@
 
     def start(self) -> None:
         assert self.rejoining is not None
-        if (done := self.rejoining.recovered_record()) is not None:
-            self._start_voting(done)
+        if (recovered := self.rejoining.recovered_record()) is not None:
+            self._start_voting(recovered)
             return
         self._send_rejoin_to_others(self.rejoining)
 
@@ -388,12 +388,12 @@
         own = self.rejoining
         if own is None:
             return
-        done = own.handle_answer(sender, message)
+        recovered = own.handle_answer(sender, message)
         if own.newer_incarnation:
             own.restart(own.newer_incarnation + 1)
             self._send_rejoin_to_others(own)
-        elif done is not None:
-            self._start_voting(done)
+        elif recovered is not None:
+            self._start_voting(recovered)
 
     def _send_rejoin_to_others(self, own: Rejoining) -> None:
         for voter in VOTERS:
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -168,7 +168,7 @@
         self.notes: list[tuple[str, dict[str, object]]] = []
         self.service = Service(cast(SocketEnv, self.world), self.start, {}, self.note)
         self.machine, self.host = self.service.machine, self.service.host
-        self.core, self.discovery = self.service.catalogue_client, self.service.discovery
+        self.catalogue_client, self.discovery = self.service.catalogue_client, self.service.discovery
         assert isinstance(self.machine.front, PgFront)
         self.front = self.machine.front
         self.run(0.05)
--- a/tests/surroundings.py
+++ b/tests/surroundings.py
@@ -15,21 +15,21 @@
 PATIENCE = 20.0
 
 
-def run(start: Callable[[SocketEnv], Callable[[], bool]], alone: bool = True) -> None:
+def run(start: Callable[[SocketEnv], Callable[[], bool]], exclusive_loop: bool = True) -> None:
     """Call `start` in an event loop, and run until the condition that it returns holds, or `PATIENCE` has passed.
 
-    `alone`: passed on to `SocketEnv`, where it means that nothing else needs the event loop.
+    `exclusive_loop`: passed on to `SocketEnv`, where it means that nothing else needs the event loop.
     """
 
     async def run_in_loop() -> None:
         async with anyio.create_task_group() as tasks:
-            env = SocketEnv(tasks, exclusive_loop=alone)
+            env = SocketEnv(tasks, exclusive_loop=exclusive_loop)
             is_done, end = start(env), env.now() + PATIENCE
 
             def check() -> None:
                 if not is_done() and env.now() < end:
                     env.at(env.now() + 0.001, check)
-                elif alone:
+                elif exclusive_loop:
                     env.stop()
                 else:
                     tasks.cancel_scope.cancel()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -68,9 +68,9 @@
             sock.close()
 
 
-@pytest.mark.parametrize("alone", [True, False])
+@pytest.mark.parametrize("exclusive_loop", [True, False])
 def test_readiness_of_a_closed_connection_is_not_reported_to_one_that_reuses_its_descriptor(
-    alone: bool,
+    exclusive_loop: bool,
 ) -> None:
     """Two connections are ready in one batch of epoll. The first closes the second and opens a new connection, which
     gets the same file descriptor. The readiness of the old connection must not count as the new one's connect."""
@@ -107,7 +107,7 @@
 
         return is_done
 
-    run(act, alone)
+    run(act, exclusive_loop)
     listener.close()
     for filler in fillers:
         os.close(filler)
--- a/tests/test_many_members.py
+++ b/tests/test_many_members.py
@@ -49,7 +49,7 @@
         assert self.start.settings == parse_settings({**SETTINGS, "balancers": 230})
         self.service = Service(cast(SocketEnv, self.world), self.start, {}, self.note)
         self.machine, self.host = self.service.machine, self.service.host
-        self.core, self.discovery = self.service.catalogue_client, self.service.discovery
+        self.catalogue_client, self.discovery = self.service.catalogue_client, self.service.discovery
         self.run(0.05)
 
 
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -274,9 +274,11 @@
         self.events.append(f"{self.name} lost")
 
 
-@pytest.mark.parametrize("alone", [True, False])
+@pytest.mark.parametrize("exclusive_loop", [True, False])
 @pytest.mark.parametrize("with_request", [True, False])
-def test_closes_by_clients_are_reported_before_all_other_events(alone: bool, with_request: bool) -> None:
+def test_closes_by_clients_are_reported_before_all_other_events(
+    exclusive_loop: bool, with_request: bool
+) -> None:
     """Many connections are ready at the next poll. The last ones have closed, some with an unread request."""
     events: list[str] = []
     staying, leaving = 3 * MAX_SOCKETS_PER_BATCH, 2 * MAX_SOCKETS_PER_BATCH
@@ -294,7 +296,7 @@
             caller.close()
         return lambda: events.count("staying data") == staying
 
-    run(act, alone)
+    run(act, exclusive_loop)
     assert events.index("staying data") >= leaving
     before = events[: events.index("staying data")]
     assert before.count("leaving half-closed") == leaving and before.index("leaving half-closed") == 0
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -247,8 +247,8 @@
 ANSWER_BYTES = 900_000
 
 
-@pytest.mark.parametrize("alone", [True, False])
-def test_a_slow_reader_is_reported_before_a_batch_of_sockets_is_over(alone: bool) -> None:
+@pytest.mark.parametrize("exclusive_loop", [True, False])
+def test_a_slow_reader_is_reported_before_a_batch_of_sockets_is_over(exclusive_loop: bool) -> None:
     """Sixteen sockets are ready at once, and each sends an answer to one client that reads nothing."""
     totals, slow = [0, 0], SlowReader()
     callers: list[socket.socket] = []
@@ -265,7 +265,7 @@
             caller.sendall(b"question")
         return lambda: totals[1] >= MAX_SOCKETS_PER_BATCH
 
-    run(act, alone)
+    run(act, exclusive_loop)
     assert slow.is_full and totals[1] == MAX_SOCKETS_PER_BATCH
     # bytes in the kernel, unsent bytes that are allowed here, and one answer more
     held = callers[0].getsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF) + 4 * HIGH_WATER_BYTES
