--- a/banklift/emulator/node.py
+++ b/banklift/emulator/node.py
@@ -29,7 +29,7 @@
 from random import Random
 
 from banklift.emulator.store import SCRIPT_COMMANDS, Store
-from banklift.resp.commands import Kind, lookup
+from banklift.resp.commands import CommandKind, find_command
 from banklift.resp.frames import CommandReader, Error, ProtocolError, Scanner, Simple, command, encode
 
 BACKLOG_BYTES = 1024 * 1024  # the part of the log that is kept for partial resynchronisation
@@ -414,12 +414,12 @@
                 connection.is_stuck = True
                 self._handle_without_answer(connection, connection.queue.popleft())
                 continue
-            known = lookup(name)
-            needs_core = known is not None and known.kind in (Kind.READ, Kind.WRITE)
+            known = find_command(name)
+            needs_core = known is not None and known.kind in (CommandKind.READ, CommandKind.WRITE)
             if connection.transaction is not None and needs_core:
                 assert known is not None
                 connection.transaction.append(connection.queue.popleft())
-                refused = known.kind is Kind.WRITE and (self.primary is not None or self.readonly)
+                refused = known.kind is CommandKind.WRITE and (self.primary is not None or self.readonly)
                 connection.transaction_failed = connection.transaction_failed or refused
                 self._send(connection, encode(READONLY if refused else Simple("QUEUED")))
                 continue
@@ -440,8 +440,8 @@
         elif connection.transaction is not None and name != b"EXEC":
             connection.transaction.append(args)
         elif (
-            (known := lookup(name)) is not None
-            and (known.kind in (Kind.READ, Kind.WRITE) or connection.transaction is not None)
+            (known := find_command(name)) is not None
+            and (known.kind in (CommandKind.READ, CommandKind.WRITE) or connection.transaction is not None)
             and self.random.random() < self.faults.hang_runs
         ):
             self._execute(connection, args)
@@ -496,7 +496,8 @@
             connection.transaction_failed = False
         all_args = tuple(word for each in commands for word in each)
         writes = any(
-            known is not None and known.kind is Kind.WRITE for known in (lookup(each[0]) for each in commands)
+            known is not None and known.kind is CommandKind.WRITE
+            for known in (find_command(each[0]) for each in commands)
         )
         refused = writes and (self.primary is not None or self.readonly)
         answer, log = b"", list[list[bytes]]()
--- a/banklift/emulator/store.py
+++ b/banklift/emulator/store.py
@@ -18,7 +18,7 @@
 import json
 import re
 
-from banklift.resp.commands import Kind, lookup
+from banklift.resp.commands import CommandKind, find_command
 from banklift.resp.frames import Error, Simple
 
 OK = Simple("OK")
@@ -53,8 +53,8 @@
             args = [arg.partition(REQUEST_NUMBER_MARK)[0] for arg in args]
         if name in SCRIPT_COMMANDS:
             return self._execute_script(args, now, log)
-        known = lookup(name)
-        if known is None or known.kind is not Kind.WRITE:
+        known = find_command(name)
+        if known is None or known.kind is not CommandKind.WRITE:
             return self.apply(args, now)
         for key in known.keys(args):
             if self.is_expired(key, now):
@@ -83,7 +83,11 @@
             call = [match[1]]
             for argument in SCRIPT_ARGUMENT.finditer(match[2]):
                 call.append(script_args[argument[1]][int(argument[2]) - 1] if argument[1] else argument[3])
-            if args[0].upper() == b"EVAL_RO" and (known := lookup(call[0])) and known.kind is Kind.WRITE:
+            if (
+                args[0].upper() == b"EVAL_RO"
+                and (known := find_command(call[0]))
+                and known.kind is CommandKind.WRITE
+            ):
                 return Error("ERR Write commands are not allowed from read-only scripts. script: stand-in")
             answer = self.execute(call, now, log)
         return answer
--- a/banklift/judge/day.py
+++ b/banklift/judge/day.py
@@ -30,8 +30,8 @@
 from banklift.net.sockets import SocketEnv
 from banklift.proxy.machine import Machine
 from banklift.proxy.plan import Config, Group, Positive, Seconds, Strict
-from banklift.resp.commands import Kind, lookup
-from banklift.resp.replies import status
+from banklift.resp.commands import CommandKind, find_command
+from banklift.resp.replies import status_from_reply
 
 DAYS = Path(__file__).with_name("days")
 ROSTER_READ_S = 0.5  # longest time until a router has read a new roster file
@@ -357,9 +357,10 @@
                     )
                 )
             case "answer":
-                turned_away = event.turned or status(event.data) is not Status.OK
+                turned_away = event.turned or status_from_reply(event.data) is not Status.OK
                 writes = any(
-                    known is not None and known.kind is Kind.WRITE for known in map(lookup, event.args)
+                    known is not None and known.kind is CommandKind.WRITE
+                    for known in map(find_command, event.args)
                 )
                 self.record(
                     Entry(
--- a/banklift/resp/commands.py
+++ b/banklift/resp/commands.py
@@ -11,7 +11,7 @@
 from enum import Enum
 
 
-class Kind(Enum):
+class CommandKind(Enum):
     """How the router treats a command."""
 
     READ = "read"
@@ -25,7 +25,7 @@
     """One command, with the positions of its keys among its arguments; the name is argument 0."""
 
     name: str
-    kind: Kind
+    kind: CommandKind
     first_key: int = 1  # index of the first key; 0: none
     last_key: int = 1  # index of the last key; negative: counted from the end
     key_step: int = 1  # distance between two keys
@@ -56,7 +56,7 @@
     table: dict[bytes, Command] = {}
 
     def add(
-        kind: Kind,
+        kind: CommandKind,
         names: str,
         first_key: int = 1,
         last_key: int = 1,
@@ -71,60 +71,73 @@
             )
 
     add(
-        Kind.READ,
+        CommandKind.READ,
         "GET STRLEN TYPE TTL PTTL EXPIRETIME PEXPIRETIME DUMP HGETALL HKEYS HVALS HLEN LLEN SMEMBERS SCARD "
         "ZCARD XLEN BITCOUNT SRANDMEMBER HRANDFIELD ZRANDMEMBER",
     )
     add(
-        Kind.READ,
+        CommandKind.READ,
         "GETBIT BITPOS HGET HEXISTS HSTRLEN HMGET HSCAN LINDEX LPOS SISMEMBER SMISMEMBER SSCAN ZSCORE "
         "ZMSCORE ZRANK ZREVRANK ZSCAN PFCOUNT GEOHASH GEOPOS XPENDING",
         min_args=3,
     )
     add(
-        Kind.READ,
+        CommandKind.READ,
         "GETRANGE SUBSTR LRANGE ZRANGE ZREVRANGE ZRANGEBYSCORE ZREVRANGEBYSCORE ZRANGEBYLEX "
         "ZREVRANGEBYLEX ZCOUNT ZLEXCOUNT XRANGE XREVRANGE GEODIST GEOSEARCH",
         min_args=4,
     )
-    add(Kind.READ, "MGET EXISTS TOUCH SINTER SUNION SDIFF", last_key=-1)
-    add(Kind.READ, "PFCOUNT", last_key=-1)
-    add(Kind.READ, "LCS", last_key=2, min_args=3)
-    add(Kind.READ, "ZUNION ZINTER ZDIFF SINTERCARD ZINTERCARD", first_key=0, key_count_index=1, min_args=3)
-    add(Kind.READ, "BITFIELD_RO SORT_RO GEORADIUS_RO GEORADIUSBYMEMBER_RO")
-    add(Kind.WRITE, "INCR DECR GETDEL GETEX PERSIST LPOP RPOP SPOP ZPOPMIN ZPOPMAX SORT BITFIELD PFADD")
+    add(CommandKind.READ, "MGET EXISTS TOUCH SINTER SUNION SDIFF", last_key=-1)
+    add(CommandKind.READ, "PFCOUNT", last_key=-1)
+    add(CommandKind.READ, "LCS", last_key=2, min_args=3)
     add(
-        Kind.WRITE,
+        CommandKind.READ,
+        "ZUNION ZINTER ZDIFF SINTERCARD ZINTERCARD",
+        first_key=0,
+        key_count_index=1,
+        min_args=3,
+    )
+    add(CommandKind.READ, "BITFIELD_RO SORT_RO GEORADIUS_RO GEORADIUSBYMEMBER_RO")
+    add(
+        CommandKind.WRITE, "INCR DECR GETDEL GETEX PERSIST LPOP RPOP SPOP ZPOPMIN ZPOPMAX SORT BITFIELD PFADD"
+    )
+    add(
+        CommandKind.WRITE,
         "SET SETNX GETSET APPEND INCRBY DECRBY INCRBYFLOAT EXPIRE PEXPIRE EXPIREAT PEXPIREAT HDEL LPUSH "
         "RPUSH LPUSHX RPUSHX SADD SREM ZREM XACK XDEL XTRIM GEOADD",
         min_args=3,
     )
     add(
-        Kind.WRITE,
+        CommandKind.WRITE,
         "SETEX PSETEX SETRANGE SETBIT HSET HMSET HSETNX HINCRBY HINCRBYFLOAT LSET LTRIM LREM LINSERT ZADD "
         "ZINCRBY ZREMRANGEBYSCORE ZREMRANGEBYRANK ZREMRANGEBYLEX XADD XCLAIM XAUTOCLAIM RESTORE",
         min_args=4,
     )
-    add(Kind.WRITE, "DEL UNLINK", last_key=-1)
-    add(Kind.WRITE, "MSET MSETNX", last_key=-1, key_step=2, min_args=3)
+    add(CommandKind.WRITE, "DEL UNLINK", last_key=-1)
+    add(CommandKind.WRITE, "MSET MSETNX", last_key=-1, key_step=2, min_args=3)
     add(
-        Kind.WRITE,
+        CommandKind.WRITE,
         "RENAME RENAMENX COPY RPOPLPUSH LMOVE SMOVE ZRANGESTORE GEOSEARCHSTORE",
         last_key=2,
         min_args=3,
     )
-    add(Kind.WRITE, "SINTERSTORE SUNIONSTORE SDIFFSTORE PFMERGE", last_key=-1, min_args=3)
-    add(Kind.WRITE, "BITOP", first_key=2, last_key=-1, min_args=4)
-    add(Kind.WRITE, "ZUNIONSTORE ZINTERSTORE ZDIFFSTORE", first_key=1, key_count_index=2, min_args=4)
-    add(Kind.WRITE, "LMPOP ZMPOP", first_key=0, key_count_index=1, min_args=4)
-    add(Kind.WRITE, "EVAL EVALSHA", first_key=0, key_count_index=2, min_args=4)
-    add(Kind.READ, "EVAL_RO EVALSHA_RO", first_key=0, key_count_index=2, min_args=4)
-    add(Kind.LOCAL, "PING QUIT RESET COMMAND INFO ROLE MULTI EXEC DISCARD HELLO", first_key=0, min_args=1)
-    add(Kind.LOCAL, "ECHO AUTH SELECT CLIENT BANKLIFT.SEEN", first_key=0)
-    add(Kind.LOCAL, "WAIT", first_key=0, min_args=3)
-    add(Kind.LOCAL, "BANKLIFT.TOKEN", first_key=0, min_args=1)
+    add(CommandKind.WRITE, "SINTERSTORE SUNIONSTORE SDIFFSTORE PFMERGE", last_key=-1, min_args=3)
+    add(CommandKind.WRITE, "BITOP", first_key=2, last_key=-1, min_args=4)
+    add(CommandKind.WRITE, "ZUNIONSTORE ZINTERSTORE ZDIFFSTORE", first_key=1, key_count_index=2, min_args=4)
+    add(CommandKind.WRITE, "LMPOP ZMPOP", first_key=0, key_count_index=1, min_args=4)
+    add(CommandKind.WRITE, "EVAL EVALSHA", first_key=0, key_count_index=2, min_args=4)
+    add(CommandKind.READ, "EVAL_RO EVALSHA_RO", first_key=0, key_count_index=2, min_args=4)
+    add(
+        CommandKind.LOCAL,
+        "PING QUIT RESET COMMAND INFO ROLE MULTI EXEC DISCARD HELLO",
+        first_key=0,
+        min_args=1,
+    )
+    add(CommandKind.LOCAL, "ECHO AUTH SELECT CLIENT BANKLIFT.SEEN", first_key=0)
+    add(CommandKind.LOCAL, "WAIT", first_key=0, min_args=3)
+    add(CommandKind.LOCAL, "BANKLIFT.TOKEN", first_key=0, min_args=1)
     add(
-        Kind.DEDICATED,
+        CommandKind.DEDICATED,
         "WATCH UNWATCH BLPOP BRPOP BLMOVE BRPOPLPUSH BLMPOP BZPOPMIN BZPOPMAX BZMPOP XREAD XREADGROUP "
         "SUBSCRIBE PSUBSCRIBE SSUBSCRIBE UNSUBSCRIBE PUNSUBSCRIBE SUNSUBSCRIBE PUBLISH SPUBLISH MONITOR "
         "WAITAOF SYNC PSYNC REPLCONF SCRIPT FUNCTION FCALL FCALL_RO",
@@ -137,6 +150,6 @@
 COMMANDS = _table()
 
 
-def lookup(name: bytes) -> Command | None:
+def find_command(name: bytes) -> Command | None:
     """The command of this name in any case; None if it is unknown."""
     return COMMANDS.get(name) or COMMANDS.get(name.upper())
--- a/banklift/resp/front.py
+++ b/banklift/resp/front.py
@@ -38,11 +38,11 @@
 from banklift.proxy.machine import Machine
 from banklift.proxy.plan import Config
 from banklift.proxy.wire import ClientRequest, Failed, Final, Refused, Served
-from banklift.resp.commands import COMMANDS, Command, Kind, lookup
+from banklift.resp.commands import COMMANDS, Command, CommandKind, find_command
 from banklift.resp.frames import CommandReader, Error, ProtocolError, Simple, command, encode
 from banklift.resp.proofs import RespProofs
 from banklift.resp.routes import CrossGroupKeys, Routes, UnownedKey, strictest_class
-from banklift.resp.wire import Single, Transaction
+from banklift.resp.wire import SingleCommand, Transaction
 
 REDIS_VERSION = "7.2.0"  # of Redis, whose commands clients may expect
 MAX_NAMED_SESSIONS = 10_000  # beyond this, the marks of the least recently used session are dropped
@@ -64,7 +64,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Place:
+class PipelineEntry:
     """One command in a connection's pipeline, with its reply once that is known."""
 
     answer: bytes | None = None
@@ -79,9 +79,9 @@
 class WaitingCommand:
     """A command that waits for earlier commands of its connection and group."""
 
-    place: Place
+    place: PipelineEntry
     request_class: RequestClass
-    exchange: Single | Transaction
+    exchange: SingleCommand | Transaction
     arrived: float  # router's clock, seconds
 
 
@@ -111,12 +111,14 @@
 
 
 @dataclass(slots=True, eq=False)
-class Client:
+class ClientConnection:
     """The state of one client connection."""
 
     id: int
     reader: CommandReader
-    line: deque[Place] = field(default_factory=deque)  # the pipeline: commands not yet answered, oldest first
+    pipeline: deque[PipelineEntry] = field(
+        default_factory=deque
+    )  # the pipeline: commands not yet answered, oldest first
     proto: int = 2  # version of RESP
     user: str | None = None  # None until the client has logged in
     name: str = ""  # set by the client; connections of one user and name share a session
@@ -143,8 +145,10 @@
         assert isinstance(core.proofs, RespProofs)
         self._tracks = core.proofs.tracks
         self.routes = Routes(config)
-        self.clients: dict[int, Client] = {}
-        self.places: dict[int, tuple[Client, Place]] = {}  # by the core's id of the request
+        self.clients: dict[int, ClientConnection] = {}
+        self.entries_by_request: dict[
+            int, tuple[ClientConnection, PipelineEntry]
+        ] = {}  # by the core's id of the request
         # marks by group of each named session, by user and name, least recently used first
         self.named_sessions: OrderedDict[tuple[str, str], dict[int, SessionMark]] = OrderedDict()
         # once marks of a named session were dropped, a named session without marks may have had some
@@ -161,7 +165,7 @@
             self.core.actions.append(ev.SendToClient(client, b"-ERR max number of clients reached\r\n"))
             self.core.actions.append(ev.CloseClient(client))
             return
-        self.clients[client] = Client(client, CommandReader(self.config.limits.frame))
+        self.clients[client] = ClientConnection(client, CommandReader(self.config.limits.frame))
 
     def data(self, client: int, data: bytes) -> None:
         """Bytes of a client arrived: runs the commands that are complete."""
@@ -182,7 +186,7 @@
                 if waiting.place.answer is None:
                     waiting.place.answer = refused
             queue.waiting.clear()
-        for place in list(state.line):
+        for place in list(state.pipeline):
             if (
                 place.request is not None
                 and place.answer is None
@@ -202,9 +206,9 @@
             return
         state.closing = True
         state.queues.clear()
-        for place in state.line:
+        for place in state.pipeline:
             if place.request is not None and place.answer is None:
-                self.places.pop(place.request, None)
+                self.entries_by_request.pop(place.request, None)
                 self.core.abandon(place.request)
 
     def set_output_full(self, client: int, is_full: bool) -> None:
@@ -219,7 +223,7 @@
 
     def done(self, request: ClientRequest, final: Final) -> None:
         """The core has finished a request: stores the reply and starts what waited for it."""
-        found = self.places.pop(request.ids[0], None) if request.ids else None
+        found = self.entries_by_request.pop(request.ids[0], None) if request.ids else None
         if found is None:
             return
         state, place = found
@@ -265,7 +269,7 @@
 
     # ---- the pipeline
 
-    def _give_up(self, place: Place, untouched: bytes) -> None:
+    def _give_up(self, place: PipelineEntry, untouched: bytes) -> None:
         """Answers a command now, by what is known of its outcome. `untouched`: the reply if no member received it."""
         if place.request is None:
             place.answer = untouched
@@ -273,21 +277,21 @@
         may_have_run = self.core.may_have_run(place.request)
         repeatable = self.core.safe_to_repeat(place.request)
         self.core.abandon(place.request)
-        self.places.pop(place.request, None)
+        self.entries_by_request.pop(place.request, None)
         place.answer = (
             untouched if not may_have_run else encode_refusal(0.0, True) if repeatable else UNCERTAIN_ERROR
         )
         if place.queue is not None and place.request_class is not None:
             place.queue.release(place.request_class)
 
-    def _overdue(self, state: Client, place: Place) -> None:
+    def _expire(self, state: ClientConnection, place: PipelineEntry) -> None:
         """The time of a command is over, but a command ahead of it has a later deadline.
 
         Gives up everything without a reply up to and including this command, so that its reply leaves in time.
         """
-        if state.id not in self.clients or place not in state.line:
+        if state.id not in self.clients or place not in state.pipeline:
             return
-        for other in list(state.line):  # copied, as giving up one may end others and let more be read
+        for other in list(state.pipeline):  # copied, as giving up one may end others and let more be read
             if other.answer is None and other.deferred is None:
                 self._give_up(other, encode_refusal(0.0, False))
             if other is place:
@@ -296,34 +300,34 @@
             self._start_waiting(state, group, queue)
         self._flush(state)
 
-    def _read_commands(self, state: Client) -> None:
+    def _read_commands(self, state: ClientConnection) -> None:
         """Runs the commands that are complete, until the pipeline is full; then sends the replies that are ready."""
         limit = self.config.limits.pipeline
         try:
             while not state.closing:
-                if len(state.line) >= limit or state.output_full:
+                if len(state.pipeline) >= limit or state.output_full:
                     self._pause(state)
                     break
                 args = state.reader.next()
                 if args is None:
                     break
-                place = Place()
-                state.line.append(place)
+                place = PipelineEntry()
+                state.pipeline.append(place)
                 self._dispatch(state, place, args)
         except ProtocolError as error:
-            state.line.append(Place(encode(Error(f"ERR Protocol error: {error}"))))
+            state.pipeline.append(PipelineEntry(encode(Error(f"ERR Protocol error: {error}"))))
             state.closing = True
         self._flush(state)
 
-    def _pause(self, state: Client) -> None:
+    def _pause(self, state: ClientConnection) -> None:
         """Stops reading the connection until `_flush` resumes it."""
         if not state.paused:
             state.paused = True
             self.core.actions.append(ev.PauseClient(state.id))
 
-    def _flush(self, state: Client) -> None:
+    def _flush(self, state: ClientConnection) -> None:
         """Sends the replies at the head of the pipeline, then closes, pauses or resumes the connection as needed."""
-        line = state.line
+        line = state.pipeline
         out = []
         while line:
             head = line[0]
@@ -351,10 +355,10 @@
 
     # ---- commands
 
-    def _dispatch(self, state: Client, place: Place, args: list[bytes]) -> None:
+    def _dispatch(self, state: ClientConnection, place: PipelineEntry, args: list[bytes]) -> None:
         """Answers a command, queues it in a transaction, or submits it to the core."""
         name = args[0].upper()
-        spec = lookup(name)
+        spec = find_command(name)
         if self.passwords and state.user is None and name not in (b"AUTH", b"HELLO", b"QUIT", b"RESET"):
             return self._reply(state, place, Error("NOAUTH Authentication required."))
         if spec is None:
@@ -371,14 +375,14 @@
             return self._reply(
                 state, place, Error(f"ERR wrong number of arguments for '{spec.name.lower()}' command")
             )
-        if spec.kind is Kind.DEDICATED:
+        if spec.kind is CommandKind.DEDICATED:
             state.transaction_failed = True
             return self._reply(
                 state,
                 place,
                 Error(f"ERR {spec.name} needs a connection of its own, which this router doesn't give"),
             )
-        if spec.kind is Kind.LOCAL:
+        if spec.kind is CommandKind.LOCAL:
             if state.transaction is not None and name not in (
                 b"EXEC",
                 b"DISCARD",
@@ -406,7 +410,7 @@
             state.transaction_failed = True
             key = error.args[0][:64].decode("utf-8", "replace")
             return self._reply(state, place, Error(f"CLUSTERDOWN no group owns the key '{key}'"))
-        writes = spec.kind is Kind.WRITE
+        writes = spec.kind is CommandKind.WRITE
         request_class = self.routes.request_class(name, keys, writes, state.user or "default")
         if state.transaction is not None:
             if any(other_group != group for _, _, _, other_group in state.transaction):
@@ -421,16 +425,16 @@
             place,
             request_class,
             group,
-            Single(state.proto, state.reader.raw or command(*args), writes),
+            SingleCommand(state.proto, state.reader.raw or command(*args), writes),
         )
 
     def _submit(
         self,
-        state: Client,
-        place: Place,
+        state: ClientConnection,
+        place: PipelineEntry,
         request_class: RequestClass,
         group: int,
-        exchange: Single | Transaction,
+        exchange: SingleCommand | Transaction,
     ) -> None:
         """Submits a request to the core, or queues it behind the commands it has to wait for."""
         queue = state.queues.get(group)
@@ -438,17 +442,17 @@
             queue = state.queues[group] = GroupQueue()
         arrived = self.core.now if self.core.input_sent_at is None else self.core.input_sent_at
         deadline = arrived + self.core.answer_time_limit(request_class)
-        if state.line[0] is place:
+        if state.pipeline[0] is place:
             state.latest_deadline = deadline
         elif deadline < state.latest_deadline:  # before that of a command ahead of it
-            self.core.call_at(deadline, lambda: self._overdue(state, place))
+            self.core.call_at(deadline, lambda: self._expire(state, place))
         else:
             state.latest_deadline = deadline
         waiting = WaitingCommand(place, request_class, exchange, arrived)
         self._drop_answered(queue)
         if not queue.waiting and queue.admits(request_class):
             return self._start_request(state, queue, waiting, group)
-        # its wait is bounded: each command ahead of it ends in time, or `_overdue` gives it up
+        # its wait is bounded: each command ahead of it ends in time, or `_expire` gives it up
         queue.waiting.append(waiting)
 
     def _drop_answered(self, queue: GroupQueue) -> None:
@@ -461,14 +465,16 @@
         if len(queue.waiting) > 2 * self.config.limits.pipeline:
             queue.waiting = deque(waiting for waiting in queue.waiting if waiting.place.answer is None)
 
-    def _start_waiting(self, state: Client, group: int, queue: GroupQueue) -> None:
+    def _start_waiting(self, state: ClientConnection, group: int, queue: GroupQueue) -> None:
         """Starts the waiting commands that may go, after an active one has ended."""
         self._drop_answered(queue)
         while queue.waiting and queue.admits(queue.waiting[0].request_class):
             self._start_request(state, queue, queue.waiting.popleft(), group)
             self._drop_answered(queue)
 
-    def _start_request(self, state: Client, queue: GroupQueue, waiting: WaitingCommand, group: int) -> None:
+    def _start_request(
+        self, state: ClientConnection, queue: GroupQueue, waiting: WaitingCommand, group: int
+    ) -> None:
         """Counts a command as active and hands its request to the core."""
         place = waiting.place
         request_class = waiting.request_class
@@ -492,7 +498,7 @@
         # `submit` may call `done` before it returns the id, so the entry is registered under the next id first
         request_id = self.core.last_request_id + 1
         place.request = request_id
-        self.places[request_id] = state, place
+        self.entries_by_request[request_id] = state, place
         submitted_id = self.core.submit(request)
         assert submitted_id == request_id
 
@@ -503,7 +509,7 @@
             seen if current is None else self._tracks[group].merge_marks(current, seen, self.core.now)
         )
 
-    def _session_marks(self, state: Client) -> dict[int, SessionMark]:
+    def _session_marks(self, state: ClientConnection) -> dict[int, SessionMark]:
         """The session's marks by group: the connection's own, or those shared under the name that the client set."""
         if not state.name:
             return state.marks
@@ -516,11 +522,13 @@
         self.named_sessions.move_to_end(key)
         return marks
 
-    def _reply(self, state: Client, place: Place, value: object) -> None:
+    def _reply(self, state: ClientConnection, place: PipelineEntry, value: object) -> None:
         """Sets the reply of a command that the router answers itself."""
         place.answer = encode(value, state.proto)
 
-    def _answer_locally(self, state: Client, place: Place, name: bytes, args: list[bytes]) -> None:
+    def _answer_locally(
+        self, state: ClientConnection, place: PipelineEntry, name: bytes, args: list[bytes]
+    ) -> None:
         """Runs a command that concerns the connection or the router only."""
         match name:
             case b"PING":
@@ -579,7 +587,7 @@
             case b"BANKLIFT.SEEN":
                 self._restore_marks(state, place, args[1])
 
-    def _login(self, state: Client, user: str, password: bytes) -> Error | None:
+    def _login(self, state: ClientConnection, user: str, password: bytes) -> Error | None:
         """Logs a client in; returns the error if user and password don't match."""
         if not self.passwords:
             return Error(
@@ -591,7 +599,7 @@
         state.user = user
         return None
 
-    def _hello(self, state: Client, place: Place, args: list[bytes]) -> None:
+    def _hello(self, state: ClientConnection, place: PipelineEntry, args: list[bytes]) -> None:
         """HELLO: sets the protocol version, and logs in and names the client if asked to."""
         proto = state.proto
         rest = args[1:]
@@ -639,7 +647,7 @@
             },
         )
 
-    def _set_client_name(self, state: Client, name: bytes) -> Error | None:
+    def _set_client_name(self, state: ClientConnection, name: bytes) -> Error | None:
         """Makes the connection part of the user's session of that name; returns the error if the name is invalid."""
         if any(byte < 33 or byte > 126 for byte in name):
             return Error("ERR Client names cannot contain spaces, newlines or special characters.")
@@ -651,7 +659,7 @@
                 self._merge_mark(new_marks, group, seen)
         return None
 
-    def _client_command(self, state: Client, place: Place, args: list[bytes]) -> None:
+    def _client_command(self, state: ClientConnection, place: PipelineEntry, args: list[bytes]) -> None:
         """CLIENT and its subcommands."""
         subcommand = args[1].upper()
         if subcommand == b"ID":
@@ -673,16 +681,16 @@
                 state, place, Error(f"ERR unknown subcommand '{args[1][:128].decode('utf-8', 'replace')}'")
             )
 
-    def _command_command(self, state: Client, place: Place, args: list[bytes]) -> None:
+    def _command_command(self, state: ClientConnection, place: PipelineEntry, args: list[bytes]) -> None:
         """COMMAND and its subcommands: describes the commands that the router supports."""
         subcommand = args[1].upper() if len(args) > 1 else b"INFO"
-        supported = {name: spec for name, spec in COMMANDS.items() if spec.kind is not Kind.DEDICATED}
+        supported = {name: spec for name, spec in COMMANDS.items() if spec.kind is not CommandKind.DEDICATED}
         if subcommand == b"COUNT":
             return self._reply(state, place, len(supported))
         if subcommand == b"LIST":
             return self._reply(state, place, [name.lower() for name in supported])
         if subcommand == b"GETKEYS" and len(args) > 2:
-            spec = lookup(args[2])
+            spec = find_command(args[2])
             try:
                 keys = spec.keys(args[2:]) if spec is not None else []
             except (ValueError, IndexError):
@@ -722,7 +730,7 @@
         wants_all = wanted & {b"default", b"all", b"everything"}
         return "\r\n".join(text for name, text in parts.items() if wants_all or name in wanted)
 
-    def _exec(self, state: Client, place: Place) -> None:
+    def _exec(self, state: ClientConnection, place: PipelineEntry) -> None:
         """EXEC: submits the queued commands as one request, of the strictest class among theirs."""
         queued = state.transaction
         state.transaction = None
@@ -738,7 +746,10 @@
         request_class = strictest_class(
             [
                 self.routes.request_class(
-                    spec.name.encode(), spec.keys(args), spec.kind is Kind.WRITE, state.user or "default"
+                    spec.name.encode(),
+                    spec.keys(args),
+                    spec.kind is CommandKind.WRITE,
+                    state.user or "default",
                 )
                 for spec, args, _, _ in queued
             ]
@@ -749,7 +760,7 @@
 
     # ---- marks of sessions
 
-    def _token_text(self, state: Client) -> str:
+    def _token_text(self, state: ClientConnection) -> str:
         """The reply to BANKLIFT.TOKEN: the session's marks as text, joined by commas.
 
         A mark is `group=history:offset`, or `group=?` if its history isn't known. Without marks the text is `-`.
@@ -763,7 +774,7 @@
             or "-"
         )
 
-    def _restore_marks(self, state: Client, place: Place, token: bytes) -> None:
+    def _restore_marks(self, state: ClientConnection, place: PipelineEntry, token: bytes) -> None:
         """BANKLIFT.SEEN: adds the marks of a token, which another router gave, to the session's."""
         marks: dict[int, SessionMark] = {}
         try:
@@ -794,7 +805,7 @@
             self._merge_mark(session_marks, group, seen)
         self._reply(state, place, OK)
 
-    def _wait_for_replicas(self, state: Client, place: Place, args: list[bytes]) -> None:
+    def _wait_for_replicas(self, state: ClientConnection, place: PipelineEntry, args: list[bytes]) -> None:
         """WAIT: replies with how many replicas have the session's writes.
 
         The reply comes once the wanted number has them or the timeout is over. The timeout is in milliseconds; 0 means
@@ -833,7 +844,15 @@
 
 def _command_info(spec: Command) -> list[object]:
     """A command in the form in which COMMAND INFO describes it."""
-    flags = [Simple("write" if spec.kind is Kind.WRITE else "readonly" if spec.kind is Kind.READ else "fast")]
+    flags = [
+        Simple(
+            "write"
+            if spec.kind is CommandKind.WRITE
+            else "readonly"
+            if spec.kind is CommandKind.READ
+            else "fast"
+        )
+    ]
     if spec.key_count_index:
         flags.append(Simple("movablekeys"))
     return [
--- a/banklift/resp/proofs.py
+++ b/banklift/resp/proofs.py
@@ -37,7 +37,7 @@
 class MemberKnowledge:
     """What the router knows of one member between its answers."""
 
-    doubt: bool = True  # its replication history is not known and has to be asked for
+    history_unknown: bool = True  # its replication history is not known and has to be asked for
     # when the oldest write without an answer was sent, in seconds of the router's clock
     unanswered_since: float | None = None
 
@@ -80,7 +80,7 @@
         knowledge = attempt.member.protocol_state
         if need is Need.WRITE and knowledge.unanswered_since is None:
             knowledge.unanswered_since = self.core.now
-        if fresh or knowledge.doubt:
+        if fresh or knowledge.history_unknown:
             return StatusQuery.HISTORY_BOTH_SIDES if need in MARKING_READS else StatusQuery.HISTORY
         if need is Need.ANY:  # needs no proof
             return StatusQuery.NONE
@@ -152,13 +152,13 @@
         """
         fact = self.tracks[member.group].record_answer(member.name, reported, asked, self.core.now, waiting)
         if fact.history_unknown:
-            member.protocol_state.doubt = True
+            member.protocol_state.history_unknown = True
             # its role may have changed, so ask for its history
             if member.state is State.READY and not member.pending_probes:
                 self.before_probe(member)
                 self.core.probe(member)
         elif reported.replid is not None:
-            member.protocol_state.doubt = False
+            member.protocol_state.history_unknown = False
         if fact.data_replaced:
             self.core.data_replaced(member)
         return fact
--- a/banklift/resp/replies.py
+++ b/banklift/resp/replies.py
@@ -25,7 +25,7 @@
 FULL_ERRORS = (b"-LOADING", b"-MASTERDOWN", b"-BUSY ", b"-OOM", b"-ERR max number of clients")
 
 
-def status(frame: bytes) -> Status:
+def status_from_reply(frame: bytes) -> Status:
     """The outcome of an attempt that got this answer."""
     if frame[:1] != b"-" or b" script: " in frame:
         return Status.OK
--- a/banklift/resp/wire.py
+++ b/banklift/resp/wire.py
@@ -24,7 +24,7 @@
 from banklift.proxy.wire import BrokenFrame, Result, StatusQuery
 from banklift.resp.frames import ProtocolError, Scanner, command
 from banklift.resp.proofs import RespProofs
-from banklift.resp.replies import parse_replication_status, status
+from banklift.resp.replies import parse_replication_status, status_from_reply
 
 ROLE = command("ROLE")
 INFO = command("INFO", "replication")
@@ -138,7 +138,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Single:
+class SingleCommand:
     """One command of a client.
 
     `link_variant`: its RESP version. `data`: the bytes of the command. `writes`: whether it writes.
@@ -163,27 +163,27 @@
     def interpret(self, frames: list[bytes], status_query: StatusQuery) -> Result | None:
         """What the frames so far mean; None while more are needed."""
         if not status_query:
-            return Result(status(frames[0]), frames[0])
+            return Result(status_from_reply(frames[0]), frames[0])
         if len(frames) == 1:
-            verdict = status(frames[0])
+            verdict = status_from_reply(frames[0])
             # the answer to the status command ahead of a read: the member will reject the command too
             if verdict is Status.FULL and not self.writes:
                 return Result(verdict)
             return None
         if self.writes:
-            return Result(status(frames[0]), frames[0], parse_replication_status(frames[1]))
+            return Result(status_from_reply(frames[0]), frames[0], parse_replication_status(frames[1]))
         if len(frames) < self.frames(status_query):
             return None
         after = parse_replication_status(frames[2]) if TRAILING_STATUS_COMMANDS[status_query] else None
-        return Result(status(frames[1]), frames[1], parse_replication_status(frames[0]), after)
+        return Result(status_from_reply(frames[1]), frames[1], parse_replication_status(frames[0]), after)
 
     def result_of_broken_link(self, frames: list[bytes], status_query: StatusQuery) -> Result | None:
         """What the frames mean if the link broke after them; None if the outcome is unknown."""
         if not frames:
             return None
         if self.writes:
-            return Result(status(frames[0]), frames[0])
-        return Result(Status.FULL) if status(frames[0]) is Status.FULL else None
+            return Result(status_from_reply(frames[0]), frames[0])
+        return Result(Status.FULL) if status_from_reply(frames[0]) is Status.FULL else None
 
 
 @dataclass(frozen=True, slots=True)
@@ -212,7 +212,7 @@
 
     def interpret(self, frames: list[bytes], status_query: StatusQuery) -> Result | None:
         """What the frames so far mean; None while more are needed."""
-        if len(frames) == 1 and status(frames[0]) is Status.FULL:
+        if len(frames) == 1 and status_from_reply(frames[0]) is Status.FULL:
             return Result(Status.FULL)
         if len(frames) < self.frames(status_query):
             return None
@@ -242,8 +242,11 @@
         # nothing ran; the error of a command that was not queued gives the reason, or else EXEC's own error does
         if answer.startswith(b"-EXECABORT"):
             errors = [frame for frame in body[:-1] if frame[:1] == b"-"]
-            verdict = next((status(frame) for frame in errors if status(frame) is not Status.OK), Status.OK)
+            verdict = next(
+                (status_from_reply(frame) for frame in errors if status_from_reply(frame) is not Status.OK),
+                Status.OK,
+            )
             if DEMOTED_ERROR in answer:
                 verdict = Status.MISS
             return Result(verdict, answer, replication_status)
-        return Result(status(answer), answer, replication_status)
+        return Result(status_from_reply(answer), answer, replication_status)
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -19,7 +19,7 @@
 from banklift.proxy.machine import Machine
 from banklift.proxy.plan import Config
 from banklift.proxy.wire import ClientRequest, Failed, Final, Refused, Served, StatusQuery
-from banklift.resp.front import Client, Place, RespFront
+from banklift.resp.front import ClientConnection, PipelineEntry, RespFront
 from banklift.resp.proofs import RespProofs
 
 MachineFactory = Callable[[Config, int], Machine]
@@ -119,7 +119,7 @@
 class BlocksBehindLateAnswers(RespFront):
     """Lets an overdue request delay the answers to the requests behind it on its connection."""
 
-    def _overdue(self, state: Client, place: Place) -> None:
+    def _expire(self, state: ClientConnection, place: PipelineEntry) -> None:
         return
 
 
@@ -349,8 +349,8 @@
 class ShiftsBatchAnswers(RespFront):
     """Shifts the answers of a batch by one where all of them are ready and hold values."""
 
-    def _flush(self, state: Client) -> None:
-        line = list(state.line)
+    def _flush(self, state: ClientConnection) -> None:
+        line = list(state.pipeline)
         if (
             len(line) > 1
             and all(place.answer is not None and place.request is not None for place in line)
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -17,7 +17,7 @@
 from banklift.proxy.wire import ClientRequest
 from banklift.resp.frames import command
 from banklift.resp.proofs import RespProofs
-from banklift.resp.wire import INFO, ROLE, Single
+from banklift.resp.wire import INFO, ROLE, SingleCommand
 
 A, B = "a" * 40, "b" * 40
 
@@ -383,7 +383,9 @@
     rig.handle(ev.LinkData(rig.connect("p:1"), b"+OK\r\n" + info(True, 50)))
     assert rig.machine.timers  # which could hold the request
     gc.collect()
-    assert not [each for each in gc.get_objects() if isinstance(each, Attempt | PendingRequest | Single)]
+    assert not [
+        each for each in gc.get_objects() if isinstance(each, Attempt | PendingRequest | SingleCommand)
+    ]
 
 
 def test_wait_waits_for_replicas() -> None:
@@ -550,7 +552,7 @@
     rig.proofs.learn(member, ReplicationStatus(False, 5, "p:1", replid=A), rig.now, None)
     before = len(member.pending_probes)
     rig.proofs.learn(member, ReplicationStatus(True, 5), rig.now, None)
-    assert member.protocol_state.doubt and len(member.pending_probes) == before + 1
+    assert member.protocol_state.history_unknown and len(member.pending_probes) == before + 1
     rig.proofs.learn(member, ReplicationStatus(True, 5), rig.now, None)
     assert len(member.pending_probes) == before + 1  # once is enough
 
@@ -728,7 +730,7 @@
                     1,
                     next(kind for kind in rig.machine.balancer.settings.classes if kind.name == "trace-view"),
                     0,
-                    Single(2, b"", False),
+                    SingleCommand(2, b"", False),
                 ),
                 rig.now,
                 rig.now + 2,
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -14,7 +14,7 @@
 from banklift.proxy import events as ev
 from banklift.proxy.timers import MAX_CANCELLED_KEPT, Timer, Timers
 from banklift.resp.frames import command
-from banklift.resp.front import Place, RespFront
+from banklift.resp.front import PipelineEntry, RespFront
 from tests.test_machine import Rig, info
 
 
@@ -148,7 +148,7 @@
     )
     assert all(queue.pending == 0 for queue in machine.queues.queues.values())
     assert len(machine.front.clients) == 1  # type: ignore[attr-defined]
-    assert not machine.front.places  # type: ignore[attr-defined]
+    assert not machine.front.entries_by_request  # type: ignore[attr-defined]
     rig.wait(10.0)
     assert len(machine.timers) < 20 and machine.timers.heap_size < 2 * MAX_CANCELLED_KEPT + 40
 
@@ -163,7 +163,7 @@
     rig.wait(0.05)
     answers = rig.answer()
     assert answers.startswith(b"-UNCERTAIN") and answers.endswith(b"+PONG\r\n")
-    assert not rig.machine.pending and not rig.machine.front.places  # type: ignore[attr-defined]
+    assert not rig.machine.pending and not rig.machine.front.entries_by_request  # type: ignore[attr-defined]
 
 
 def test_an_unsafe_write_in_flight_that_is_given_up_fails_as_uncertain() -> None:
@@ -184,8 +184,8 @@
     rig = Rig()
     front: RespFront = rig.machine.front  # type: ignore[assignment]
     state = front.clients[1]
-    places = [Place(request=number) for number in range(901, 907)]
-    state.line.extend(places)
+    places = [PipelineEntry(request=number) for number in range(901, 907)]
+    state.pipeline.extend(places)
 
     def abandon(request: int) -> None:
         for place in places:
@@ -195,8 +195,8 @@
 
     rig.machine.abandon = abandon  # type: ignore[method-assign]
     rig.machine.actions = []
-    front._overdue(state, places[-1])
-    assert not state.line and all(place.answer is not None for place in places)
+    front._expire(state, places[-1])
+    assert not state.pipeline and all(place.answer is not None for place in places)
 
 
 def test_wait_may_delay_the_requests_behind_it() -> None:
