--- a/banklift/config/build.py
+++ b/banklift/config/build.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from banklift import interface as io
-from banklift.config.policy import Policy, under
+from banklift.config.policy import Policy, with_policy
 from banklift.interface import RequestClass, State
 from banklift.proxy.events import ApplyConfig, ListedMember, Roster
 from banklift.proxy.machine import Machine
@@ -52,7 +52,7 @@
 
 def adopt(config: Config, policy: Policy) -> ApplyConfig:
     """The event that makes the machine go on under this policy."""
-    plan = under(config, policy)
+    plan = with_policy(config, policy)
     classes = tuple(Routes(plan).classes.values())
     return ApplyConfig(settings(plan, classes), plan.limits, plan)
 
--- a/banklift/config/policy.py
+++ b/banklift/config/policy.py
@@ -57,12 +57,12 @@
     return _encoder.encode({key: value for key, value in raw.items() if value not in ([], {})})
 
 
-def of(config: Config) -> bytes:
+def policy_of(config: Config) -> bytes:
     """The canonical JSON of the policy in a whole file."""
     return encode(Policy(**{name: getattr(config, name) for name in Policy.__struct_fields__}))
 
 
-def under(config: Config, policy: Policy) -> Config:
+def with_policy(config: Config, policy: Policy) -> Config:
     """The whole file with its policy replaced by this one."""
     return msgspec.structs.replace(
         config, **{name: getattr(policy, name) for name in Policy.__struct_fields__}
@@ -86,7 +86,7 @@
         raise ValueError(f"{place.strip('`') or '$'}: {reason}") from None
 
 
-def against(config: Config, text: bytes, descriptors: int) -> tuple[str, ...]:
+def objections(config: Config, text: bytes, descriptors: int) -> tuple[str, ...]:
     """Every problem that this router has with a policy, as `place: reason`; none if it can serve under it.
 
     `descriptors`: how many file descriptors this process may hold.
@@ -95,7 +95,7 @@
         policy = decode(text)
     except ValueError as error:
         return (str(error),)
-    problems = check(under(config, policy))
+    problems = check(with_policy(config, policy))
     # the default limit is not checked, only one that the policy states
     if policy.limits.clients != Limits().clients and policy.limits.clients >= descriptors:
         problems.append(
--- a/banklift/net/fleet_daemon.py
+++ b/banklift/net/fleet_daemon.py
@@ -68,7 +68,7 @@
 
     def check(self, text: bytes) -> tuple[str, ...]:
         """The reasons for which this router can't run with the policy `text`; empty if it can."""
-        return policy.against(self.config, text, self.descriptors)
+        return policy.objections(self.config, text, self.descriptors)
 
     def adopt(self, epoch: int, text: bytes) -> None:
         """Serve requests under the policy `text` from now on."""
@@ -103,7 +103,7 @@
         plan,
         new_incarnation(),
         new_seed(),
-        policy.of(config),
+        policy.policy_of(config),
         policies.check,
         None if state is None else state.record,
         True if state is None else state.absent,
--- a/banklift/rig/capacity_policy.py
+++ b/banklift/rig/capacity_policy.py
@@ -68,7 +68,7 @@
     check_seconds, adopt_seconds = [], []
     for _ in range(rounds):
         begin = time.process_time()
-        reasons = policy.against(config, text, DESCRIPTORS)
+        reasons = policy.objections(config, text, DESCRIPTORS)
         checked = time.process_time()
         assert reasons == (), reasons
         machine.handle(1.0, build.adopt(config, policy.decode(text)))
@@ -79,7 +79,7 @@
 
 def policy_text(config: Config, size: int) -> bytes:
     """A valid policy for this configuration of about so many bytes: its own policy with as many more routes as fit."""
-    fields = json.loads(policy.of(config))
+    fields = json.loads(policy.policy_of(config))
     own_size = len(json.dumps(fields))
     route = {"to": "loose", "keys": "key-00000000:*", "commands": ["GET"]}
     for number in range(max(0, (size - own_size) // len(json.dumps(route)))):
--- a/tests/test_adopt.py
+++ b/tests/test_adopt.py
@@ -14,7 +14,7 @@
 
 def change(rig: Rig, **changes: object) -> Policy:
     """Apply the machine's own configuration with these changes; return the policy."""
-    new = msgspec.structs.replace(policy.decode(policy.of(rig.config)), **changes)
+    new = msgspec.structs.replace(policy.decode(policy.policy_of(rig.config)), **changes)
     rig.handle(build.adopt(rig.config, new))
     return new
 
@@ -164,24 +164,24 @@
     ],
 )
 def test_an_invalid_policy_is_refused_with_the_place_of_the_fault(text: bytes, reason: str) -> None:
-    reasons = policy.against(Rig().config, text, 1024)
+    reasons = policy.objections(Rig().config, text, 1024)
     assert any(found.startswith(reason) for found in reasons), reasons
 
 
 def test_a_policy_cut_anywhere_is_refused() -> None:
     rig = Rig()
-    whole = policy.of(rig.config)
-    assert policy.against(rig.config, whole, 1024) == ()
+    whole = policy.policy_of(rig.config)
+    assert policy.objections(rig.config, whole, 1024) == ()
     for cut in range(len(whole)):
-        assert policy.against(rig.config, whole[:cut], 1024) != (), cut
+        assert policy.objections(rig.config, whole[:cut], 1024) != (), cut
 
 
 def test_a_limit_of_clients_has_to_fit_the_descriptors_of_the_process() -> None:
     rig = Rig()
     stated = policy.encode(
-        msgspec.structs.replace(policy.decode(policy.of(rig.config)), limits=Limits(clients=5000))
+        msgspec.structs.replace(policy.decode(policy.policy_of(rig.config)), limits=Limits(clients=5000))
     )
-    assert policy.against(rig.config, stated, 1024)[0].startswith(
+    assert policy.objections(rig.config, stated, 1024)[0].startswith(
         "$.limits.clients: 5000 clients, and this process"
     )
-    assert policy.against(rig.config, stated, 65536) == ()
+    assert policy.objections(rig.config, stated, 65536) == ()
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -70,7 +70,7 @@
         return socket.create_connection(("127.0.0.1", self.port(router)), timeout=10)
 
 
-def patient(config: Config, times: float = 10) -> Config:
+def with_long_deadlines(config: Config, times: float = 10) -> Config:
     """The config with all deadlines and aims `times` longer, so that a slow machine meets them."""
     classes = [
         msgspec.structs.replace(item, aim=times * item.aim, deadline=times * item.deadline)
@@ -81,7 +81,7 @@
 
 @pytest.fixture(scope="module")
 def site() -> Iterator[Site]:
-    site = Site(patient(load(EXAMPLE)))
+    site = Site(with_long_deadlines(load(EXAMPLE)))
     yield site
     site.close()
 
@@ -252,7 +252,7 @@
 
 
 def test_users_must_log_in_and_limits_hold() -> None:
-    config = patient(load(EXAMPLE))
+    config = with_long_deadlines(load(EXAMPLE))
     site = Site(
         msgspec.structs.replace(
             config,
@@ -307,7 +307,7 @@
     """
     value = b"v" * 200_000
     count = 1000
-    site = Site(with_time_for_class(patient(load(EXAMPLE)), "own-picks"))
+    site = Site(with_time_for_class(with_long_deadlines(load(EXAMPLE)), "own-picks"))
     try:
         with site.raw() as sock:
             sock.settimeout(300)
--- a/tests/test_play.py
+++ b/tests/test_play.py
@@ -13,7 +13,7 @@
 from banklift.judge.day import FaultOrder, load_day, play
 from banklift.judge.rules import judge
 from banklift.judge.trace import read
-from tests.test_clients import patient
+from tests.test_clients import with_long_deadlines
 
 ORDERS = [
     FaultOrder(at=0.5, do="lag", member="west-1", value=10_000),
@@ -28,7 +28,7 @@
 def test_day_on_sockets_has_no_repeated_effect_and_no_stale_read(tmp_path: Path) -> None:
     day, config = load_day("short")
     day = msgspec.structs.replace(day, troubles=ORDERS, seconds=3, rate=100, sessions=20, leavers=0.0)
-    anyio.run(play, day, patient(config, 3), 2, 3, tmp_path / "trace", lambda at, text: None)
+    anyio.run(play, day, with_long_deadlines(config, 3), 2, 3, tmp_path / "trace", lambda at, text: None)
     head, entries = read(tmp_path / "trace")
     verdict = judge(head, entries)
     assert not [violation for violation in verdict.breaks if violation.rule in (2, 5)]
