--- a/banklift/emulator/node.py
+++ b/banklift/emulator/node.py
@@ -1,7 +1,7 @@
 """An emulated Redis-like member: data, a replication log, replication by PSYNC and faults, without I/O.
 
-`Node` is a state machine. Its owner (`NodeHost` in shell.py) passes in events (a connection opened, bytes arrived, a
-timer is due) with the current time in seconds, and carries out the actions that each call returns.
+`RespMember` is a state machine. Its owner (`NodeHost` in shell.py) passes in events (a connection opened, bytes
+arrived, a timer is due) with the current time in seconds, and carries out the actions that each call returns.
 
 Commands. The commands of one connection run in order; all connections together share `cores`. A command that reads or
 writes data occupies a core for some time (its work: seconds at full speed). ROLE, INFO and the other control commands
@@ -39,7 +39,9 @@
 MAX_STREAM_COMMAND_BYTES = 1 << 30  # one command or transaction of the replication stream
 MIN_WORK_FACTOR = 0.7  # a command's work varies at random between these factors
 MAX_WORK_FACTOR = 1.3
-CUT_EXECUTE_PROBABILITY = 0.5  # that a command is executed although its connection is closed (`Faults.cut`)
+CUT_EXECUTE_PROBABILITY = (
+    0.5  # that a command is executed although its connection is closed (`Faults.cut_share`)
+)
 NO_REPLICATION_ID = "0" * 40
 UPSTREAM_ID = 0  # number of a replica's connection to its primary; accepted connections have higher numbers
 OK = Simple("OK")
@@ -52,26 +54,28 @@
 class Faults:
     """The faults of a member. They may be set at any time and hold from then on.
 
-    `Node.thaw` ends `hang`, and `Node.ship` ends `withhold`. A factor multiplies the usual value; a share is a
-    probability from 0 to 1.
+    `RespMember.end_hang` ends `hang`, and `RespMember.release_withheld_log` ends `withhold_log`. A factor multiplies
+    the usual value; a share is a probability from 0 to 1.
     """
 
     hang: bool = (
         False  # requests get no answer, except ROLE and INFO, and the stream of the primary is not applied
     )
-    hang_probes: bool = False  # ROLE and INFO get no answer either during a hang
-    hang_runs: float = 0.5  # share of the unanswered requests that are executed all the same
-    slow: float = 1.0  # factor on the work of each command
-    slow_for: dict[str, float] = field(default_factory=dict)  # factor on the work, by source address
-    tail: float = 1.0  # factor on the work of the commands drawn by `tail_share`
-    tail_share: float = 0.0  # share of the commands that `tail` slows down
-    cut: float = 0.0  # share of the commands whose connection is closed instead of an answer
-    apply: float = 1.0  # factor on the work of applying a replicated write
-    cap: int = 10_000  # connections accepted at the same time
-    understate: float = 1.0  # factor on the load that INFO reports
-    handshake: float = 0.0  # seconds before the first command of a new connection runs
-    withhold: bool = False  # the log is kept back from all replicas until `Node.ship`
-    delay: float = 0.0  # seconds added before the log is sent to replicas
+    hang_role_queries: bool = False  # ROLE and INFO get no answer either during a hang
+    hang_execute_share: float = 0.5  # share of the unanswered requests that are executed all the same
+    work_factor: float = 1.0  # factor on the work of each command
+    work_factor_by_source: dict[str, float] = field(
+        default_factory=dict
+    )  # as `work_factor`, by source address
+    tail_work_factor: float = 1.0  # factor on the work of the commands drawn by `tail_share`
+    tail_share: float = 0.0  # share of the commands that `tail_work_factor` slows down
+    cut_share: float = 0.0  # share of the commands whose connection is closed instead of an answer
+    apply_work_factor: float = 1.0  # factor on the work of applying a replicated write
+    max_connections: int = 10_000  # connections accepted at the same time
+    reported_load_factor: float = 1.0  # factor on the load that INFO reports
+    setup_delay_seconds: float = 0.0  # seconds before the first command of a new connection runs
+    withhold_log: bool = False  # the log is kept back from all replicas until `release_withheld_log`
+    log_delay_seconds: float = 0.0  # seconds added before the log is sent to replicas
 
 
 @dataclass(slots=True, eq=False)
@@ -100,10 +104,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Act:
+class MemberAction:
     """What the member wants done, or what it did, for the record of a tap.
 
-    To be carried out by the owner, on connection `conn`:
+    To be carried out by the owner, on connection `connection_id`:
       send       send `data`
       close      close the connection; `data`: full (too many connections), or empty
       connect    connect to the primary at the address in `data`
@@ -111,29 +115,29 @@
     To be recorded only (a close is recorded too, with `data` "other end" if that end closed the connection):
       command    a command arrived (`args`), or a whole transaction, with the arguments of all its commands
       ran        a write was executed; `log` holds the commands that replicas apply
-      answer     a command was answered with `data`; `turned`: it was refused and nothing was executed
+      answer     a command was answered with `data`; `refused`: it was refused and nothing was executed
       says       the member told its role (`args`: primary or replica)
-      line       the log is now a history of its own, which continues the history `parent` from `offset` on; `received`:
-                 the offset up to which the member had been sent `parent`
+      line       the log is now a history of its own, which continues the history `parent_history` from `offset` on;
+                 `parent_offset_received`: the offset up to which the member had been sent the parent history
 
-    `line` and `offset` hold the replication ID and the offset of the member's log at that moment. `source` is the
+    `history` and `offset` hold the replication ID and the offset of the member's log at that moment. `source` is the
     address of the other end.
     """
 
-    what: str
-    conn: int
+    kind: str
+    connection_id: int
     data: bytes = b""
     args: tuple[bytes, ...] = ()
     source: str = ""
-    line: str = ""
+    history: str = ""
     offset: int = 0
     log: tuple[tuple[bytes, ...], ...] = ()
-    turned: bool = False
-    parent: str = ""
-    received: int = 0
+    refused: bool = False
+    parent_history: str = ""
+    parent_offset_received: int = 0
 
 
-class Node:
+class RespMember:
     """The state of one emulated member: a primary, until `follow` makes it a replica.
 
     `cores`: commands that run at the same time. `command_seconds`: work of one command. `apply_seconds`: work of
@@ -167,20 +171,20 @@
         self.backlog = bytearray()  # the end of the log, up to `offset`
         self.primary: str | None = None  # address of the primary; None: this member is a primary
         self.link_up = False  # a replica that gets the stream of its primary
-        self.readonly = False  # a primary that refuses writes during a hand-over
+        self.refuses_writes = False  # a primary that refuses writes during a hand-over
         self.connections: dict[int, Connection] = {}
         self.running = 0  # commands that occupy a core
         self.waiting_for_core: deque[Connection] = deque()
         self.now = 0.0
         self.timers: list[tuple[float, int, Callable[[], None]]] = []  # heap: time, number, callback
         self.timers_created = 0  # numbers the timers, so that those of one time run in order
-        self.actions: list[Act] = []
+        self.actions: list[MemberAction] = []
         self.stream_scanner: Scanner | None = None  # None: no connection to the primary
         self.handshake_stage = ""  # ping, port, psync, copy, and then stream
         self.handshake_buffer = bytearray()  # bytes of the primary that precede its stream
         self.full_resync = ("", 0)  # replication ID and offset of the full copy under way
         # Commands and whole transactions of the stream that are not applied yet.
-        self.inbox: deque[bytes] = deque()
+        self.unapplied_stream: deque[bytes] = deque()
         self.partial_transaction: list[bytes] = []  # commands of the stream since a MULTI without its EXEC
         self.applying = False
         self.apply_held = 0  # long reads during which nothing is applied
@@ -200,21 +204,25 @@
 
     # ---- events; each returns the actions that follow from it
 
-    def connection_opened(self, now: float, number: int, source: str) -> list[Act]:
+    def connection_opened(self, now: float, number: int, source: str) -> list[MemberAction]:
         """Accept connection `number` from the address `source`, or close it if there are too many."""
         self._begin(now)
-        if len(self.connections) >= self.faults.cap:
+        if len(self.connections) >= self.faults.max_connections:
             self.actions += [
-                Act("send", number, b"-ERR max number of clients reached\r\n"),
-                Act("close", number, b"full"),
+                MemberAction("send", number, b"-ERR max number of clients reached\r\n"),
+                MemberAction("close", number, b"full"),
             ]
             return self.actions
         self.connections[number] = Connection(
-            number, source, CommandReader(MAX_REQUEST_BYTES), now, ready_at=now + self.faults.handshake
+            number,
+            source,
+            CommandReader(MAX_REQUEST_BYTES),
+            now,
+            ready_at=now + self.faults.setup_delay_seconds,
         )
         return self.actions
 
-    def data_received(self, now: float, number: int, data: bytes) -> list[Act]:
+    def data_received(self, now: float, number: int, data: bytes) -> list[MemberAction]:
         """Handle bytes from connection `number`, or from the primary (`UPSTREAM_ID`).
 
         A connection whose bytes are not RESP gets an error and is closed.
@@ -252,9 +260,11 @@
                 connection.incoming_transaction += args
                 return
             args, connection.incoming_transaction = connection.incoming_transaction, None
-        self.actions.append(Act("command", connection.id, args=tuple(args), source=connection.source))
+        self.actions.append(
+            MemberAction("command", connection.id, args=tuple(args), source=connection.source)
+        )
 
-    def connection_lost(self, now: float, number: int) -> list[Act]:
+    def connection_lost(self, now: float, number: int) -> list[MemberAction]:
         """The other end closed connection `number`. A command that occupies a core is still executed."""
         self._begin(now)
         if number == UPSTREAM_ID:
@@ -264,16 +274,16 @@
             connection.queue.clear()
         return self.actions
 
-    def upstream_connected(self, now: float) -> list[Act]:
+    def upstream_connected(self, now: float) -> list[MemberAction]:
         """The connection to the primary is up: start the replication handshake."""
         self._begin(now)
         self.stream_scanner = Scanner(MAX_STREAM_COMMAND_BYTES)
         self.handshake_stage = "ping"
         self.handshake_buffer.clear()
-        self.actions.append(Act("send", UPSTREAM_ID, command("PING")))
+        self.actions.append(MemberAction("send", UPSTREAM_ID, command("PING")))
         return self.actions
 
-    def run_timers(self, now: float) -> list[Act]:
+    def run_timers(self, now: float) -> list[MemberAction]:
         """Run all timers that are due."""
         self._begin(now)
         while self.timers and self.timers[0][0] <= now:
@@ -287,7 +297,7 @@
 
     # ---- orders of the owner
 
-    def follow(self, now: float, address: str) -> list[Act]:
+    def follow(self, now: float, address: str) -> list[MemberAction]:
         """Become a replica of the primary at `address`."""
         self._begin(now)
         if self.primary != address:
@@ -295,19 +305,19 @@
             self._connect_upstream()
         return self.actions
 
-    def promote(self, now: float) -> list[Act]:
+    def promote(self, now: float) -> list[MemberAction]:
         """Become a primary with a new history that continues the old one. A primary ignores the order."""
         self._begin(now)
         if self.primary is None:
             return self.actions
-        received = self.offset + sum(map(len, self.inbox))
-        while self.inbox:  # the received part of the log is kept, so it is applied first
+        received = self.offset + sum(map(len, self.unapplied_stream))
+        while self.unapplied_stream:  # the received part of the log is kept, so it is applied first
             self._apply_one()
         self.primary = None
         self.link_up = False
         self.stream_scanner = None
         self.partial_transaction.clear()
-        self.actions.append(Act("close", UPSTREAM_ID))
+        self.actions.append(MemberAction("close", UPSTREAM_ID))
         self.replid2 = self.replid
         self.second_replid_offset = self.offset + 1
         self._start_history(received)
@@ -327,7 +337,14 @@
         parent = self.replid
         self.replid = self._new_replication_id()
         self.actions.append(
-            Act("line", UPSTREAM_ID, line=self.replid, offset=self.offset, parent=parent, received=received)
+            MemberAction(
+                "line",
+                UPSTREAM_ID,
+                history=self.replid,
+                offset=self.offset,
+                parent_history=parent,
+                parent_offset_received=received,
+            )
         )
 
     def killed(self, now: float) -> None:
@@ -336,7 +353,7 @@
         self.incarnation += 1
         self.connections.clear()
         self.waiting_for_core.clear()
-        self.inbox.clear()
+        self.unapplied_stream.clear()
         self.partial_transaction.clear()
         self.timers.clear()
         self.running = 0
@@ -347,7 +364,7 @@
 
     def restarted(
         self, now: float, cold_share: float, warm_up_seconds: float, keeps_history: bool
-    ) -> list[Act]:
+    ) -> list[MemberAction]:
         """Start again after `killed`, at `cold_share` of the full capacity, which rises to 1 over `warm_up_seconds`.
 
         `keeps_history`: the member still knows its replication ID; else it starts a new history with the same data.
@@ -383,13 +400,13 @@
 
     def _send(self, connection: Connection, data: bytes) -> None:
         if not connection.closed:
-            self.actions.append(Act("send", connection.id, data))
+            self.actions.append(MemberAction("send", connection.id, data))
 
     def _close(self, connection: Connection) -> None:
         connection.closed = True
         connection.queue.clear()
         self.connections.pop(connection.id, None)
-        self.actions.append(Act("close", connection.id))
+        self.actions.append(MemberAction("close", connection.id))
 
     def capacity(self) -> float:
         """The share of its full speed at which the member runs now; below 1 while it warms up after a restart."""
@@ -409,7 +426,7 @@
                 return
             name = connection.queue[0][0].upper()
             asks_role = name in (b"ROLE", b"INFO")
-            if self.faults.hang and (connection.is_stuck or not asks_role or self.faults.hang_probes):
+            if self.faults.hang and (connection.is_stuck or not asks_role or self.faults.hang_role_queries):
                 # Answers keep the order of their commands, so nothing behind this one is answered either.
                 connection.is_stuck = True
                 self._handle_without_answer(connection, connection.queue.popleft())
@@ -419,7 +436,9 @@
             if connection.transaction is not None and needs_core:
                 assert known is not None
                 connection.transaction.append(connection.queue.popleft())
-                refused = known.kind is CommandKind.WRITE and (self.primary is not None or self.readonly)
+                refused = known.kind is CommandKind.WRITE and (
+                    self.primary is not None or self.refuses_writes
+                )
                 connection.transaction_failed = connection.transaction_failed or refused
                 self._send(connection, encode(READONLY if refused else Simple("QUEUED")))
                 continue
@@ -442,7 +461,7 @@
         elif (
             (known := find_command(name)) is not None
             and (known.kind in (CommandKind.READ, CommandKind.WRITE) or connection.transaction is not None)
-            and self.random.random() < self.faults.hang_runs
+            and self.random.random() < self.faults.hang_execute_share
         ):
             self._execute(connection, args)
 
@@ -455,9 +474,13 @@
                 continue
             args = connection.queue.popleft()
             self.running += 1
-            factor = self.faults.slow * self.faults.slow_for.get(connection.source, 1.0) / self.capacity()
+            factor = (
+                self.faults.work_factor
+                * self.faults.work_factor_by_source.get(connection.source, 1.0)
+                / self.capacity()
+            )
             if self.faults.tail_share and self.random.random() < self.faults.tail_share:
-                factor *= self.faults.tail
+                factor *= self.faults.tail_work_factor
             seconds = self.command_seconds * factor * self.random.uniform(MIN_WORK_FACTOR, MAX_WORK_FACTOR)
             self._schedule(
                 self.now + seconds,
@@ -470,9 +493,9 @@
         connection.busy = False
         if self.faults.hang:
             connection.is_stuck = True
-            if self.random.random() < self.faults.hang_runs:
+            if self.random.random() < self.faults.hang_execute_share:
                 self._execute(connection, args)
-        elif self.faults.cut and self.random.random() < self.faults.cut:
+        elif self.faults.cut_share and self.random.random() < self.faults.cut_share:
             if self.random.random() < CUT_EXECUTE_PROBABILITY:
                 self._execute(connection, args)
             if not connection.closed:
@@ -481,11 +504,11 @@
             answer, record = self._execute(connection, args)
             self._send(connection, answer)
             if not connection.closed:
-                self.actions.append(dataclasses.replace(record, what="answer", data=answer))
+                self.actions.append(dataclasses.replace(record, kind="answer", data=answer))
         self._occupy_cores()
         self._run_queue(connection)
 
-    def _execute(self, connection: Connection, args: list[bytes]) -> tuple[bytes, Act]:
+    def _execute(self, connection: Connection, args: list[bytes]) -> tuple[bytes, MemberAction]:
         """Execute one command, or at EXEC a transaction. Returns the encoded answer, and the action that records it."""
         commands = [args]
         failed_before = False
@@ -499,7 +522,7 @@
             known is not None and known.kind is CommandKind.WRITE
             for known in (find_command(each[0]) for each in commands)
         )
-        refused = writes and (self.primary is not None or self.readonly)
+        refused = writes and (self.primary is not None or self.refuses_writes)
         answer, log = b"", list[list[bytes]]()
         if args[0].upper() == b"EXEC" and (failed_before or refused):
             answer = encode(
@@ -527,15 +550,15 @@
             if log:
                 raw = b"".join(command(*logged) for logged in log)
                 self._append_to_log(raw if len(log) == 1 else MULTI + raw + EXEC)
-        record = Act(
+        record = MemberAction(
             "ran",
             connection.id,
             args=all_args,
             source=connection.source,
-            line=self.replid,
+            history=self.replid,
             offset=self.offset,
             log=tuple(tuple(logged) for logged in log),
-            turned=refused,
+            refused=refused,
         )
         if writes and not refused:
             self.actions.append(record)
@@ -550,12 +573,12 @@
         match name:
             case b"ROLE" | b"INFO":
                 self.actions.append(
-                    Act(
+                    MemberAction(
                         "says",
                         connection.id,
                         args=(b"replica" if self.primary else b"primary",),
                         source=connection.source,
-                        line=self.replid,
+                        history=self.replid,
                         offset=self.offset,
                     )
                 )
@@ -624,7 +647,7 @@
             f"master_replid2:{self.replid2}",
             f"master_repl_offset:{self.offset}",
             f"second_repl_offset:{self.second_replid_offset}",
-            f"commands_in_flight:{int(in_flight * self.faults.understate)}",
+            f"commands_in_flight:{int(in_flight * self.faults.reported_load_factor)}",
         ]
         return "\r\n".join(lines) + "\r\n"
 
@@ -637,23 +660,23 @@
         if len(self.backlog) > 2 * BACKLOG_BYTES:
             del self.backlog[:-BACKLOG_BYTES]
         for connection in self.connections.values():
-            if connection.is_replica and self.faults.withhold:
+            if connection.is_replica and self.faults.withhold_log:
                 connection.withheld += raw
             elif connection.is_replica:
                 self._send_log(connection, raw)
 
     def _send_log(self, connection: Connection, raw: bytes) -> None:
-        """Send a part of the log to a replica, after `Faults.delay` and after all parts that were delayed before."""
-        connection.log_due_at = max(connection.log_due_at, self.now + self.faults.delay)
+        """Send a part of the log to a replica, after `Faults.log_delay_seconds` and after all parts delayed before."""
+        connection.log_due_at = max(connection.log_due_at, self.now + self.faults.log_delay_seconds)
         if connection.log_due_at > self.now:
             self._schedule(connection.log_due_at, lambda: self._send(connection, raw))
         else:
             self._send(connection, raw)
 
-    def ship(self, now: float) -> list[Act]:
-        """End `Faults.withhold`: send the replicas the part of the log that was kept back from them."""
+    def release_withheld_log(self, now: float) -> list[MemberAction]:
+        """End `Faults.withhold_log`: send the replicas the part of the log that was kept back from them."""
         self._begin(now)
-        self.faults.withhold = False
+        self.faults.withhold_log = False
         for connection in self.connections.values():
             if connection.withheld:
                 self._send_log(connection, bytes(connection.withheld))
@@ -679,17 +702,17 @@
         """Close the connection to the primary, if there is one, and open a new one."""
         self.link_up = False
         self.stream_scanner = None
-        self.inbox.clear()
+        self.unapplied_stream.clear()
         self.partial_transaction.clear()
-        self.actions.append(Act("close", UPSTREAM_ID))
+        self.actions.append(MemberAction("close", UPSTREAM_ID))
         if self.primary is not None:
-            self.actions.append(Act("connect", UPSTREAM_ID, self.primary.encode()))
+            self.actions.append(MemberAction("connect", UPSTREAM_ID, self.primary.encode()))
 
     def _upstream_lost(self) -> None:
         """The connection to the primary broke: connect again after a delay."""
         self.link_up = False
         self.stream_scanner = None
-        self.inbox.clear()  # the next PSYNC asks again for what was received and not applied
+        self.unapplied_stream.clear()  # the next PSYNC asks again for what was received and not applied
         self.partial_transaction.clear()
         if self.primary is not None:
             address = self.primary
@@ -697,7 +720,7 @@
 
     def _retry_upstream(self, address: str) -> None:
         if self.primary == address and self.stream_scanner is None:
-            self.actions.append(Act("connect", UPSTREAM_ID, address.encode()))
+            self.actions.append(MemberAction("connect", UPSTREAM_ID, address.encode()))
 
     def _upstream_received(self, data: bytes) -> None:
         """Handle bytes of the primary: the lines of the handshake, a full copy if there is one, then the stream."""
@@ -732,16 +755,18 @@
                 return
             frame = b"".join(self.partial_transaction)
             self.partial_transaction.clear()
-        self.inbox.append(frame)
+        self.unapplied_stream.append(frame)
 
     def _continue_handshake(self, line: bytes) -> bool:
         """Handle one answer of the primary and send the next command. Returns false if the handshake failed."""
         if self.handshake_stage == "ping":
             self.handshake_stage = "port"
-            self.actions.append(Act("send", UPSTREAM_ID, command("REPLCONF", "listening-port", "0")))
+            self.actions.append(MemberAction("send", UPSTREAM_ID, command("REPLCONF", "listening-port", "0")))
         elif self.handshake_stage == "port":
             self.handshake_stage = "psync"
-            self.actions.append(Act("send", UPSTREAM_ID, command("PSYNC", self.replid, self.offset + 1)))
+            self.actions.append(
+                MemberAction("send", UPSTREAM_ID, command("PSYNC", self.replid, self.offset + 1))
+            )
         else:
             words = line[1:].split()
             if words[:1] == [b"CONTINUE"]:
@@ -786,7 +811,7 @@
     def _send_ack(self) -> None:
         """Report the applied offset to the primary, now and at intervals while this connection lasts."""
         if self.link_up:
-            self.actions.append(Act("send", UPSTREAM_ID, command("REPLCONF", "ACK", self.offset)))
+            self.actions.append(MemberAction("send", UPSTREAM_ID, command("REPLCONF", "ACK", self.offset)))
             self._schedule(self.now + ACK_INTERVAL_SECONDS, self._ack_callback(self.stream_scanner))
 
     def _ack_callback(self, scanner: Scanner | None) -> Callable[[], None]:
@@ -795,8 +820,8 @@
 
     def _apply_next(self) -> None:
         """Apply the queued stream, one command or transaction after the other."""
-        while self.inbox and not self.applying and not self.apply_held and not self.faults.hang:
-            seconds = self.apply_seconds * self.faults.apply
+        while self.unapplied_stream and not self.applying and not self.apply_held and not self.faults.hang:
+            seconds = self.apply_seconds * self.faults.apply_work_factor
             if seconds > 0:
                 self.applying = True
                 self._schedule(self.now + seconds, self._apply_finished)
@@ -806,13 +831,13 @@
     def _apply_finished(self) -> None:
         """The work of applying is done: change the data, and go on with the next command of the stream."""
         self.applying = False
-        if self.inbox:
+        if self.unapplied_stream:
             self._apply_one()
         self._apply_next()
 
     def _apply_one(self) -> None:
         """Apply the oldest queued command or transaction of the stream and append it to the own log."""
-        raw = self.inbox.popleft()
+        raw = self.unapplied_stream.popleft()
         reader = CommandReader(MAX_STREAM_COMMAND_BYTES)
         reader.feed(raw)
         while (args := reader.next()) is not None:
@@ -820,7 +845,7 @@
                 self.store.apply(args, self.now)
         self._append_to_log(raw)
 
-    def thaw(self, now: float) -> list[Act]:
+    def end_hang(self, now: float) -> list[MemberAction]:
         """End a hang. Requests taken during it stay unanswered, and their connections silent; the others go on."""
         self._begin(now)
         self.faults.hang = False
--- a/banklift/emulator/shell.py
+++ b/banklift/emulator/shell.py
@@ -1,16 +1,18 @@
 """The I/O of an emulated Redis-like member: its sockets and timers, on any `Env` (real sockets or virtual time).
 
-`Node` in node.py decides what to do; `NodeHost` passes events to it and carries out its actions.
+`RespMember` in node.py decides what to do; `NodeHost` passes events to it and carries out its actions.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from banklift.emulator.node import UPSTREAM_ID, Act, Node
+from banklift.emulator.node import UPSTREAM_ID, MemberAction, RespMember
 from banklift.net.env import DeadlineTimer, Env, Handle, Listener, Peer
 
-Tap = Callable[[float, str, Act], None]  # records what a member does: time, name of the member, action
+Tap = Callable[
+    [float, str, MemberAction], None
+]  # records what a member does: time, name of the member, action
 
 
 class NodeHost:
@@ -22,7 +24,7 @@
     Errors: `OSError` if it can't listen at the address.
     """
 
-    def __init__(self, env: Env, node: Node, address: str, tap: Tap | None = None) -> None:
+    def __init__(self, env: Env, node: RespMember, address: str, tap: Tap | None = None) -> None:
         self.env = env
         self.node = node
         self.tap = tap
@@ -35,22 +37,24 @@
         self.listener: Listener | None = env.listen(address, lambda: _AcceptedPeer(self))  # None: killed
         self.address = self.listener.address
 
-    def do(self, actions: list[Act]) -> None:
+    def do(self, actions: list[MemberAction]) -> None:
         """Carry out the actions that the node returned, and pass to the tap those that only record something."""
         now = self.env.now()
         for act in list(actions):
-            if act.what == "send":
-                handle = self.upstream if act.conn == UPSTREAM_ID else self.handles.get(act.conn)
+            if act.kind == "send":
+                handle = (
+                    self.upstream if act.connection_id == UPSTREAM_ID else self.handles.get(act.connection_id)
+                )
                 if handle is not None and act.data:
                     handle.send(act.data)
-            elif act.what == "close":
-                if act.conn == UPSTREAM_ID:
+            elif act.kind == "close":
+                if act.connection_id == UPSTREAM_ID:
                     self._close_upstream()
-                elif (handle := self.handles.pop(act.conn, None)) is not None:
+                elif (handle := self.handles.pop(act.connection_id, None)) is not None:
                     handle.finish()
                     if self.tap is not None:
                         self.tap(now, self.node.name, act)
-            elif act.what == "connect":
+            elif act.kind == "connect":
                 self._close_upstream()
                 self.upstream = self.env.connect(act.data.decode(), _UpstreamPeer(self))
             elif self.tap is not None:
@@ -72,11 +76,11 @@
         for number, handle in list(self.handles.items()):
             handle.close()
             if self.tap is not None:
-                self.tap(self.env.now(), self.node.name, Act("close", number))
+                self.tap(self.env.now(), self.node.name, MemberAction("close", number))
         self.handles.clear()
 
     def restart(self, cold_share: float, warm_up_seconds: float, keeps_history: bool = False) -> None:
-        """Listen again at the same address after `kill`; nothing if it runs. Arguments: see `Node.restarted`.
+        """Listen again at the same address after `kill`; nothing if it runs. Arguments: see `RespMember.restarted`.
 
         Errors: `OSError` if it can't listen at the address.
         """
@@ -116,7 +120,7 @@
         if (handle := host.handles.pop(self.number, None)) is not None:
             handle.close()
             if host.tap is not None:
-                host.tap(host.env.now(), host.node.name, Act("close", self.number, b"other end"))
+                host.tap(host.env.now(), host.node.name, MemberAction("close", self.number, b"other end"))
             host.do(host.node.connection_lost(host.env.now(), self.number))
 
 
--- a/banklift/emulator/stand.py
+++ b/banklift/emulator/stand.py
@@ -21,7 +21,7 @@
 from anyio.abc import Process, TaskGroup
 
 from banklift.config import build
-from banklift.emulator.node import Node
+from banklift.emulator.node import RespMember
 from banklift.emulator.shell import NodeHost, Tap
 from banklift.net.env import Env
 from banklift.net.router import RouterHost
@@ -63,7 +63,7 @@
         self.roles: dict[str, str] = {}  # by name of the group: the name of its primary
         for group_index, group in enumerate(config.groups):
             for member_index, member in enumerate(group.members):
-                node = Node(
+                node = RespMember(
                     member.name,
                     seed * 1000 + group_index * 100 + member_index,  # a different seed for each member
                     command_seconds=command_seconds,
--- a/banklift/judge/day.py
+++ b/banklift/judge/day.py
@@ -18,7 +18,7 @@
 
 from banklift.config import build
 from banklift.config.load import EXAMPLE, ConfigError, evaluate, load
-from banklift.emulator.node import Act
+from banklift.emulator.node import MemberAction
 from banklift.emulator.shell import NodeHost
 from banklift.emulator.stand import RouterProcesses, Routers, RoutersHere, Stand, source
 from banklift.emulator.world import World
@@ -287,17 +287,17 @@
         """Pass a line of text on with the seconds since the start."""
         self.progress(self.env.now() - self.began_at, text)
 
-    def _record_member_event(self, now: float, member: str, event: Act) -> None:
+    def _record_member_event(self, now: float, member: str, event: MemberAction) -> None:
         """Record what a member did at its end of the sockets."""
         router = self.router_of_source.get(event.source, -1)
-        match event.what:
+        match event.kind:
             case "close":
                 self.record(
                     Entry(
                         t=now,
                         k="cut",
                         member=member,
-                        conn=event.conn,
+                        conn=event.connection_id,
                         verdict=event.data.decode() or "member",
                     )
                 )
@@ -307,16 +307,16 @@
                         t=now,
                         k="line",
                         member=member,
-                        line=event.line,
+                        line=event.history,
                         offset=event.offset,
-                        parent=event.parent,
-                        received=event.received,
+                        parent=event.parent_history,
+                        received=event.parent_offset_received,
                     )
                 )
                 if self.stand.roles.get(self._group_of(member).name) == member:  # a primary that restarted
                     self._record_primary(member)
             case "says":
-                reported = event.args[0].decode(), event.line
+                reported = event.args[0].decode(), event.history
                 if router >= 0 and self.reported_roles.get((member, event.source)) != reported:
                     self.reported_roles[member, event.source] = reported
                     self.record(
@@ -326,7 +326,7 @@
                             member=member,
                             router=router,
                             value=reported[0],
-                            line=event.line,
+                            line=event.history,
                             offset=event.offset,
                         )
                     )
@@ -337,7 +337,7 @@
                             t=now,
                             k="command",
                             member=member,
-                            conn=event.conn,
+                            conn=event.connection_id,
                             rid=forms.find_request_id(event.args),
                             router=router,
                         )
@@ -348,16 +348,16 @@
                         t=now,
                         k="ran",
                         member=member,
-                        conn=event.conn,
+                        conn=event.connection_id,
                         rid=forms.find_request_id(event.args),
                         router=router,
-                        line=event.line,
+                        line=event.history,
                         offset=event.offset,
                         log=[[word.decode("latin-1") for word in effect] for effect in event.log],
                     )
                 )
             case "answer":
-                turned_away = event.turned or status_from_reply(event.data) is not Status.OK
+                turned_away = event.refused or status_from_reply(event.data) is not Status.OK
                 writes = any(
                     known is not None and known.kind is CommandKind.WRITE
                     for known in map(find_command, event.args)
@@ -367,11 +367,11 @@
                         t=now,
                         k="reply",
                         member=member,
-                        conn=event.conn,
+                        conn=event.connection_id,
                         rid=forms.find_request_id(event.args),
                         verdict="turned away" if turned_away else "answered",
                         router=router,
-                        line=event.line,
+                        line=event.history,
                         offset=event.offset,
                         value=event.data.decode("latin-1") if writes or turned_away else "",
                     )
@@ -430,10 +430,14 @@
         self.report_progress(f"{order.do} {name}" + (f" {order.value:g}" if order.value else ""))
         match order.do:
             case "hang":
-                faults.hang, faults.hang_probes, faults.hang_runs = True, not order.probes, order.value
+                faults.hang, faults.hang_role_queries, faults.hang_execute_share = (
+                    True,
+                    not order.probes,
+                    order.value,
+                )
                 self.unavailable_since[name] = now
             case "thaw":
-                host.do(host.node.thaw(now))
+                host.do(host.node.end_hang(now))
                 self.unavailable_since.pop(name, None)
                 # the member keeps its role until the control plane tells it otherwise
                 self.env.at(now + self.day.election.takes, lambda: self._follow_primary(name))
@@ -463,21 +467,24 @@
             case "undrain":
                 self._set_roster_state(name, "ready")
             case "lag":
-                faults.apply = order.value
+                faults.apply_work_factor = order.value
             case "slow":
-                faults.slow = order.value
+                faults.work_factor = order.value
             case "slow_for":
-                faults.slow_for = {source(order.router): order.value}
+                faults.work_factor_by_source = {source(order.router): order.value}
             case "tail":
-                faults.tail, faults.tail_share = order.value, HEAVY_TAIL_SHARE if order.value > 1 else 0.0
+                faults.tail_work_factor, faults.tail_share = (
+                    order.value,
+                    HEAVY_TAIL_SHARE if order.value > 1 else 0.0,
+                )
             case "cut":
-                faults.cut = order.value
+                faults.cut_share = order.value
             case "cap":
-                faults.cap = int(order.value)
+                faults.max_connections = int(order.value)
             case "handshake":
-                faults.handshake = order.value
+                faults.setup_delay_seconds = order.value
             case "delay":
-                faults.delay = order.value
+                faults.log_delay_seconds = order.value
             case "split":  # the control plane takes it for unavailable, and the member is not told
                 self.unavailable_since[name] = now
             case "heal":
@@ -485,11 +492,11 @@
                 self._follow_primary(name)
             case "withhold":
                 if order.value:
-                    faults.withhold = True
+                    faults.withhold_log = True
                 else:
-                    host.do(host.node.ship(now))
+                    host.do(host.node.release_withheld_log(now))
             case "understate":
-                faults.understate = order.value
+                faults.reported_load_factor = order.value
 
     def _set_roster_state(self, name: str, state: str) -> None:
         """Change the state of a member in the roster: ready, draining or gone."""
@@ -586,7 +593,7 @@
         candidates = self._promotion_candidates(group, name)
         if not candidates:
             return
-        old_primary.node.readonly = True
+        old_primary.node.refuses_writes = True
         new_primary = max(candidates, key=lambda host: host.node.offset)
         deadline = self.env.now() + HANDOVER_TIMEOUT_S
 
@@ -595,7 +602,7 @@
                 self.env.at(self.env.now() + HANDOVER_POLL_S, check_progress)
                 return
             self._promote(group, new_primary)
-            old_primary.node.readonly = False
+            old_primary.node.refuses_writes = False
 
         check_progress()
 
--- a/banklift/rig/processes.py
+++ b/banklift/rig/processes.py
@@ -22,7 +22,7 @@
 import msgspec
 from anyio.abc import Process
 
-from banklift.emulator.node import Act
+from banklift.emulator.node import MemberAction
 from banklift.emulator.stand import Stand
 from banklift.fleet.messages import Message, Show, Shown
 from banklift.fleet.placement import Candidate, choose
@@ -102,9 +102,9 @@
         address = f"127.0.0.1:{self.ports[target]}"
         self.relays[source, target] = Relay(self.env, lambda: address, self.seed * 1000 + len(self.relays))
 
-    def _tap(self, now: float, member: str, act: Act) -> None:
+    def _tap(self, now: float, member: str, act: MemberAction) -> None:
         """Trace the GETs that members run."""
-        if act.what == "command" and len(act.args) == 2 and act.args[0].upper() == b"GET":
+        if act.kind == "command" and len(act.args) == 2 and act.args[0].upper() == b"GET":
             self.trace.add(
                 Entry(now, "ran", act.args[1].decode("latin-1"), member=member, role=self.roles[member])
             )
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -14,7 +14,7 @@
 import pytest
 
 from banklift.config import build
-from banklift.emulator.node import Act, Node
+from banklift.emulator.node import MemberAction, RespMember
 from banklift.emulator.store import Store
 from banklift.interface import Effect, Need
 from banklift.judge.day import Day, Election, FaultOrder, load_day, play_virtual
@@ -287,18 +287,18 @@
     orders = for_members("lag", 0.3, 10_000, "west-1 west-2") + PRIMARY_HANGS
     assert not play(orders).breaks
 
-    original = Node.promote
+    original = RespMember.promote
 
-    def promote(self: Node, now: float) -> list[Act]:
-        received = self.offset + sum(map(len, self.inbox))
-        self.inbox.clear()
+    def promote(self: RespMember, now: float) -> list[MemberAction]:
+        received = self.offset + sum(map(len, self.unapplied_stream))
+        self.unapplied_stream.clear()
         actions = original(self, now)
         for index, action in enumerate(actions):
-            if action.what == "line":
-                actions[index] = dataclasses.replace(action, received=received)
+            if action.kind == "line":
+                actions[index] = dataclasses.replace(action, parent_offset_received=received)
         return actions
 
-    monkeypatch.setattr(Node, "promote", promote)
+    monkeypatch.setattr(RespMember, "promote", promote)
     assert "began a line short of what it had received" in reasons(play(orders), 2)
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -5,16 +5,16 @@
 
 import pytest
 
-from banklift.emulator.node import UPSTREAM_ID, Act, Node
+from banklift.emulator.node import UPSTREAM_ID, MemberAction, RespMember
 from banklift.resp.frames import command
 
 CLIENT_ID = 99  # number of the test's client connection to the primary
 ONE_PIECE = 10_000  # bytes, more than any of these tests sends at once
 
 
-def sent(actions: list[Act], conn: int) -> bytes:
+def sent(actions: list[MemberAction], conn: int) -> bytes:
     """The bytes that the actions send on connection `conn`."""
-    return b"".join(act.data for act in actions if act.what == "send" and act.conn == conn)
+    return b"".join(act.data for act in actions if act.kind == "send" and act.connection_id == conn)
 
 
 class Pair:
@@ -22,12 +22,12 @@
 
     def __init__(self, size: int) -> None:
         self.size = size
-        self.primary = Node("p", 1, command_seconds=0.0)
-        self.replica = Node("r", 2, apply_seconds=0.0)
+        self.primary = RespMember("p", 1, command_seconds=0.0)
+        self.replica = RespMember("r", 2, apply_seconds=0.0)
         self.conn = 0  # number of the replica's connection at the primary; 0: none yet
         self.now = 1.0
 
-    def write(self, *args: str) -> list[Act]:
+    def write(self, *args: str) -> list[MemberAction]:
         """Send a command to the primary. Returns the primary's actions; `stream` passes them to the replica."""
         if CLIENT_ID not in self.primary.connections:
             self.primary.connection_opened(self.now, CLIENT_ID, "c")
@@ -52,7 +52,7 @@
                     UPSTREAM_ID,
                 )
 
-    def stream(self, actions: list[Act]) -> None:
+    def stream(self, actions: list[MemberAction]) -> None:
         """Pass to the replica what the primary's actions send to it."""
         to_replica = sent(actions, self.conn)
         for start in range(0, len(to_replica), self.size):
@@ -142,7 +142,7 @@
     assert sent(pair.replica.data_received(9.0, 5, command("ROLE")), 5) == b""  # answers keep their order
     pair.replica.connection_opened(9.0, 6, "c")
     assert sent(pair.replica.data_received(9.0, 6, command("ROLE")), 6).startswith(b"*5\r\n$5\r\nslave")
-    pair.replica.faults.hang_probes = True
+    pair.replica.faults.hang_role_queries = True
     assert sent(pair.replica.data_received(9.0, 6, command("ROLE")), 6) == b""
 
 
@@ -150,9 +150,9 @@
     pair = Pair(ONE_PIECE)
     pair.primary.connection_opened(1.0, 7, "c")
     pair.primary.faults.hang = True
-    pair.primary.faults.hang_runs = 1.0
+    pair.primary.faults.hang_execute_share = 1.0
     pair.primary.data_received(1.0, 7, command("SET", "a", "1"))
-    pair.primary.thaw(2.0)
+    pair.primary.end_hang(2.0)
     assert pair.primary.data == {b"a": b"1"}
     assert sent(pair.primary.data_received(2.0, 7, command("PING")), 7) == b""
 
@@ -170,7 +170,7 @@
     pair.primary.connection_opened(1.0, 8, "c")
     pair.primary.data_received(1.0, 8, transaction(("APPEND", "a", "x"), ("APPEND", "b", "x")))
     actions = pair.primary.run_timers(1.0)
-    ran = [act for act in actions if act.what == "ran"]
+    ran = [act for act in actions if act.kind == "ran"]
     assert [len(act.log) for act in ran] == [2] and ran[0].offset == pair.primary.offset
     to_replica = sent(actions, pair.conn)
     for start in range(0, len(to_replica), size):
@@ -187,7 +187,7 @@
     assert pair.replica.store.apply([b"GET", b"a"], 1.5) is None and b"a" in pair.replica.data
     pair.now = 2.0
     actions = pair.write("APPEND", "a", "2")
-    assert [act.log for act in actions if act.what == "ran"] == [((b"DEL", b"a"), (b"APPEND", b"a", b"2"))]
+    assert [act.log for act in actions if act.kind == "ran"] == [((b"DEL", b"a"), (b"APPEND", b"a", b"2"))]
     pair.stream(actions)
     assert pair.replica.data == pair.primary.data == {b"a": b"2"}
     assert pair.replica.offset == pair.primary.offset
@@ -214,30 +214,32 @@
     pair.stream(pair.write("SET", "a", "1"))
     pair.stream(pair.write("SET", "b", "2"))
     assert pair.replica.data == {}
-    histories = [act for act in pair.replica.promote(1.5) if act.what == "line"]
-    assert [(act.offset, act.received) for act in histories] == [(pair.primary.offset, pair.primary.offset)]
+    histories = [act for act in pair.replica.promote(1.5) if act.kind == "line"]
+    assert [(act.offset, act.parent_offset_received) for act in histories] == [
+        (pair.primary.offset, pair.primary.offset)
+    ]
     assert pair.replica.data == {b"a": b"1", b"b": b"2"}
 
 
 def test_a_withheld_log_reaches_no_replica_until_it_is_shipped() -> None:
     pair = Pair(ONE_PIECE)
     pair.link()
-    pair.primary.faults.withhold = True
+    pair.primary.faults.withhold_log = True
     pair.stream(pair.write("SET", "a", "1"))
     assert pair.replica.data == {}
-    pair.stream(pair.primary.ship(1.0))
+    pair.stream(pair.primary.release_withheld_log(1.0))
     assert pair.replica.data == {b"a": b"1"} and pair.replica.offset == pair.primary.offset
 
 
 def test_a_log_that_was_delayed_and_then_withheld_is_sent_in_order() -> None:
     pair = Pair(ONE_PIECE)
     pair.link()
-    pair.primary.faults.delay = 0.5
+    pair.primary.faults.log_delay_seconds = 0.5
     pair.stream(pair.write("SET", "a", "1"))  # due at 1.5
-    pair.primary.faults.withhold = True
+    pair.primary.faults.withhold_log = True
     pair.stream(pair.write("SET", "a", "2"))
-    pair.primary.faults.delay = 0.0
-    pair.stream(pair.primary.ship(1.1))
+    pair.primary.faults.log_delay_seconds = 0.0
+    pair.stream(pair.primary.release_withheld_log(1.1))
     assert pair.replica.data == {}
     pair.stream(pair.primary.run_timers(1.5))
     assert pair.replica.data == {b"a": b"2"} and pair.replica.offset == pair.primary.offset
