--- a/banklift/emulator/node.py
+++ b/banklift/emulator/node.py
@@ -1,6 +1,6 @@
 """An emulated Redis-like member: data, a replication log, replication by PSYNC and faults, without I/O.
 
-`RespMember` is a state machine. Its owner (`NodeHost` in shell.py) passes in events (a connection opened, bytes
+`RespMember` is a state machine. Its owner (`MemberHost` in shell.py) passes in events (a connection opened, bytes
 arrived, a timer is due) with the current time in seconds, and carries out the actions that each call returns.
 
 Commands. The commands of one connection run in order; all connections together share `cores`. A command that reads or
--- a/banklift/emulator/platform.py
+++ b/banklift/emulator/platform.py
@@ -1,8 +1,8 @@
 """Emulated servers of the platform: members that speak PostgreSQL's protocol, and the catalogue of members over HTTP.
 
-They run on any `Env`: real sockets or virtual time. A member answers each statement after `delay` seconds from its
-store, or with the next answer that a test put into `answers`. It counts the statements that it is working on, so that
-a test can compare the router's count with it.
+They run on any `Env`: real sockets or virtual time. A member answers each statement after `answer_delay_seconds`
+from its store, or with the next answer that a test put into `next_answers`. It counts the statements that it is working
+on, so that a test can compare the router's count with it.
 """
 
 from __future__ import annotations
@@ -17,10 +17,12 @@
 from banklift.pg import frames
 
 MAX_MESSAGE_BYTES = 1 << 20  # the body of one message of a client
-Answer = Callable[["PgNode", bytes], bytes | None]  # makes the answer to a statement; None: no answer is sent
+Answer = Callable[
+    ["PgMember", bytes], bytes | None
+]  # makes the answer to a statement; None: no answer is sent
 
 
-def row(value: bytes, tag: bytes = b"SELECT 1", column: bytes = b"content") -> bytes:
+def single_value_answer(value: bytes, tag: bytes = b"SELECT 1", column: bytes = b"content") -> bytes:
     """The messages of an answer with one value: RowDescription, DataRow and CommandComplete with `tag`."""
     column_type = b"\0" * 6 + b"\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01"  # of no table; bytea, in binary
     description = frames.message(b"T", b"\0\x01" + column + b"\0" + column_type)
@@ -32,26 +34,28 @@
 
 
 @dataclass(eq=False)
-class PgNode:
+class PgMember:
     """An emulated PostgreSQL member that listens at `address` (host:port; port 0: a free one) once it is started.
 
-    `primary`: it accepts writes. `delay`: seconds from a statement to its answer. `store`: values by key; a primary and
-    its replicas share one store, so replication takes no time.
+    `primary`: it accepts writes. `answer_delay_seconds`: from a statement to its answer. `store`: values by
+    key; a primary and its replicas share one store, so replication takes no time.
     """
 
     env: Env
     address: str = "127.0.0.1:0"
     primary: bool = False
-    delay: float = 0.0
+    answer_delay_seconds: float = 0.0
     store: dict[bytes, bytes] = field(default_factory=dict)
-    answers: deque[Answer] = field(default_factory=deque)  # to the next statements, in place of `answer`
-    seen: list[bytes] = field(default_factory=list)  # all statements, in the order of arrival
-    open: int = 0  # statements without an answer, on connections that are open
+    next_answers: deque[Answer] = field(
+        default_factory=deque
+    )  # to the next statements, in place of `default_answer`
+    statements: list[bytes] = field(default_factory=list)  # all statements, in the order of arrival
+    in_flight: int = 0  # statements without an answer, on connections that are open
     probes: int = 0  # count of SHOW usage
     connections: set[_PgPeer] = field(default_factory=set)
     listener: Listener | None = None
 
-    def start(self) -> PgNode:
+    def start(self) -> PgMember:
         """Listen at `address`, and replace it by the real one. Errors: `OSError` if it can't listen."""
         self.listener = self.env.listen(self.address, lambda: _PgPeer(self))
         self.address = self.listener.address
@@ -72,15 +76,15 @@
             "server_role", "writer" if self.primary else "reader"
         ) + frames.parameter_status("commit_clock", str(int(self.env.now() * 1000)))
 
-    def usage(self) -> bytes:
+    def usage_answer(self) -> bytes:
         """The answer to SHOW usage, without ReadyForQuery: position (the clock), role and load."""
-        return row(
-            b"x0=%.3f,x1=%d,outstanding=%d,backlog=0" % (self.env.now(), self.primary, self.open),
+        return single_value_answer(
+            b"x0=%.3f,x1=%d,outstanding=%d,backlog=0" % (self.env.now(), self.primary, self.in_flight),
             b"SHOW",
             b"usage",
         )
 
-    def answer(self, statement: bytes) -> bytes:
+    def default_answer(self, statement: bytes) -> bytes:
         """The usual answer to a statement: a write stores its value and returns it, a read returns the stored one.
 
         A write at a replica, and a statement without a quoted key, get an ErrorResponse.
@@ -98,23 +102,31 @@
             value = re.search(rb"'\\x([0-9a-f]*)'", statement)
             assert value is not None
             self.store[key[1]] = bytes.fromhex(value[1].decode())
-            return row(self.store[key[1]], b"INSERT 0 1") + self.status_messages() + frames.READY_FOR_QUERY
-        return row(self.store.get(key[1], b"none")) + self.status_messages() + frames.READY_FOR_QUERY
+            return (
+                single_value_answer(self.store[key[1]], b"INSERT 0 1")
+                + self.status_messages()
+                + frames.READY_FOR_QUERY
+            )
+        return (
+            single_value_answer(self.store.get(key[1], b"none"))
+            + self.status_messages()
+            + frames.READY_FOR_QUERY
+        )
 
 
 class _PgPeer(Peer):
     """A connection that a PostgreSQL member accepted."""
 
-    def __init__(self, node: PgNode) -> None:
-        self.node = node
+    def __init__(self, member: PgMember) -> None:
+        self.member = member
         self.handle: Handle | None = None
         self.reader = frames.ClientReader(MAX_MESSAGE_BYTES)
-        self.open = 0  # statements without an answer
-        self.asked = 0  # all statements
+        self.in_flight = 0  # statements without an answer
+        self.statement_count = 0  # all statements
 
     def connected(self, handle: Handle) -> None:
         self.handle = handle
-        self.node.connections.add(self)
+        self.member.connections.add(self)
 
     def data(self, data: bytes) -> None:
         self.reader.feed(data)
@@ -122,35 +134,38 @@
             kind, body = message
             if kind == b"":  # the startup message
                 self.reader.started = True
-                self.say(frames.AUTHENTICATION_OK + frames.READY_FOR_QUERY)
+                self.send(frames.AUTHENTICATION_OK + frames.READY_FOR_QUERY)
             elif kind == b"Q" and body == b"SHOW usage\0":
-                self.node.probes += 1
-                self.say(self.node.usage() + frames.READY_FOR_QUERY)
+                self.member.probes += 1
+                self.send(self.member.usage_answer() + frames.READY_FOR_QUERY)
             elif kind == b"Q":
-                self.node.seen.append(body[:-1])
-                self.node.open += 1
-                self.open += 1
-                self.asked += 1
+                self.member.statements.append(body[:-1])
+                self.member.in_flight += 1
+                self.in_flight += 1
+                self.statement_count += 1
                 self.schedule_answer(body[:-1])
 
     def schedule_answer(self, statement: bytes) -> None:
         """Choose how a statement is answered, and answer it after the member's delay."""
-        make_answer = self.node.answers.popleft() if self.node.answers else PgNode.answer
-        self.node.env.at(
-            self.node.env.now() + self.node.delay, lambda: self.answer_statement(make_answer, statement)
+        make_answer = (
+            self.member.next_answers.popleft() if self.member.next_answers else PgMember.default_answer
+        )
+        self.member.env.at(
+            self.member.env.now() + self.member.answer_delay_seconds,
+            lambda: self.answer_statement(make_answer, statement),
         )
 
     def answer_statement(self, make_answer: Answer, statement: bytes) -> None:
         """Answer a statement, unless the connection is gone. One that gets no answer stays counted as open."""
-        if self not in self.node.connections:
+        if self not in self.member.connections:
             return
-        answer = make_answer(self.node, statement)
+        answer = make_answer(self.member, statement)
         if answer is not None:
-            self.open -= 1
-            self.node.open -= 1
-            self.say(answer)
+            self.in_flight -= 1
+            self.member.in_flight -= 1
+            self.send(answer)
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         """Send bytes to the client, if the connection is up."""
         if self.handle is not None:
             self.handle.send(data)
@@ -161,9 +176,9 @@
             self.handle.close()
 
     def lost(self, reason: str) -> None:
-        if self in self.node.connections:
-            self.node.connections.discard(self)
-            self.node.open -= self.open
+        if self in self.member.connections:
+            self.member.connections.discard(self)
+            self.member.in_flight -= self.in_flight
 
 
 @dataclass(eq=False)
@@ -177,12 +192,12 @@
     env: Env
     address: str = "127.0.0.1:0"
     targets: dict[str, dict[str, object]] = field(default_factory=dict)  # entries by uid
-    version: int = 1
+    revision: int = 1
     failing: bool = False
     calls: list[str] = field(default_factory=list)  # path and query of each call
     on_call: Callable[[], None] = lambda: None  # called at each call, before it is answered
     # Long polls without an answer: the connection, and the revision that its client has.
-    waiting: list[tuple[_CataloguePeer, int]] = field(default_factory=list)
+    long_polls: list[tuple[_CataloguePeer, int]] = field(default_factory=list)
     # The revision and the entry of each change.
     changes: list[tuple[int, dict[str, object]]] = field(default_factory=list)
     listener: Listener | None = None
@@ -193,7 +208,7 @@
         self.address = self.listener.address
         return self
 
-    def list(
+    def update(
         self,
         uid: str,
         address: str,
@@ -217,24 +232,24 @@
             "boot_ms": boot_ms,
             "access": "writer" if writes else "reader",
         }
-        self.version += 1
-        self.changes.append((self.version, entry))
+        self.revision += 1
+        self.changes.append((self.revision, entry))
         if state == "DELETED":
             self.targets.pop(uid, None)
         else:
             self.targets[uid] = entry
-        waiting, self.waiting = self.waiting, []
+        waiting, self.long_polls = self.long_polls, []
         for peer, after in waiting:
             peer.answer(self.changes_after(after))
 
-    def whole(self) -> dict[str, object]:
+    def snapshot(self) -> dict[str, object]:
         """The snapshot: all members."""
-        return {"rev": self.version, "all": True, "targets": list(self.targets.values())}
+        return {"rev": self.revision, "all": True, "targets": list(self.targets.values())}
 
     def changes_after(self, after: int) -> dict[str, object]:
         """The delta since revision `after`: the newest entry of each member that changed."""
         changed = {str(entry["uid"]): entry for version, entry in self.changes if version > after}
-        return {"rev": self.version, "all": False, "targets": list(changed.values())}
+        return {"rev": self.revision, "all": False, "targets": list(changed.values())}
 
 
 class _CataloguePeer(Peer):
@@ -263,17 +278,17 @@
             return self.say(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
         watch = re.search(r"after=(\d+)&wait_ms=(\d+)", target)
         if watch is None:
-            return self.answer(catalogue.whole())
+            return self.answer(catalogue.snapshot())
         after = int(watch[1])
-        if catalogue.version > after:
+        if catalogue.revision > after:
             return self.answer(catalogue.changes_after(after))
-        catalogue.waiting.append((self, after))
+        catalogue.long_polls.append((self, after))
         catalogue.env.at(catalogue.env.now() + int(watch[2]) / 1000, lambda: self.end_long_poll(after))
 
     def end_long_poll(self, after: int) -> None:
         """Answer a long poll whose wait is over, if it has not been answered yet."""
-        if (self, after) in self.catalogue.waiting:
-            self.catalogue.waiting.remove((self, after))
+        if (self, after) in self.catalogue.long_polls:
+            self.catalogue.long_polls.remove((self, after))
             self.answer(self.catalogue.changes_after(after))
 
     def answer(self, content: dict[str, object]) -> None:
@@ -293,4 +308,6 @@
             self.handle.close()
 
     def lost(self, reason: str) -> None:
-        self.catalogue.waiting = [(peer, after) for peer, after in self.catalogue.waiting if peer is not self]
+        self.catalogue.long_polls = [
+            (peer, after) for peer, after in self.catalogue.long_polls if peer is not self
+        ]
--- a/banklift/emulator/shell.py
+++ b/banklift/emulator/shell.py
@@ -1,6 +1,6 @@
 """The I/O of an emulated Redis-like member: its sockets and timers, on any `Env` (real sockets or virtual time).
 
-`RespMember` in node.py decides what to do; `NodeHost` passes events to it and carries out its actions.
+`RespMember` in node.py decides what to do; `MemberHost` passes events to it and carries out its actions.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 ]  # records what a member does: time, name of the member, action
 
 
-class NodeHost:
-    """Runs `node` as a server that listens at `address` (host:port; port 0: a free one).
+class MemberHost:
+    """Runs `member` as a server that listens at `address` (host:port; port 0: a free one).
 
     `tap` is called for each command that arrives, each write, each answer, each told role, each new history of the log
     and each closed connection.
@@ -24,21 +24,21 @@
     Errors: `OSError` if it can't listen at the address.
     """
 
-    def __init__(self, env: Env, node: RespMember, address: str, tap: Tap | None = None) -> None:
+    def __init__(self, env: Env, member: RespMember, address: str, tap: Tap | None = None) -> None:
         self.env = env
-        self.node = node
+        self.member = member
         self.tap = tap
         self.handles: dict[int, Handle] = {}  # accepted connections by number
         self.upstream: Handle | None = None  # of a replica: its connection to the primary
         self.last_connection_id = UPSTREAM_ID
         self.timer = DeadlineTimer(
-            env, lambda: node.next_timer_at, lambda: self.do(node.run_timers(env.now()))
+            env, lambda: member.next_timer_at, lambda: self.carry_out(member.run_timers(env.now()))
         )
         self.listener: Listener | None = env.listen(address, lambda: _AcceptedPeer(self))  # None: killed
         self.address = self.listener.address
 
-    def do(self, actions: list[MemberAction]) -> None:
-        """Carry out the actions that the node returned, and pass to the tap those that only record something."""
+    def carry_out(self, actions: list[MemberAction]) -> None:
+        """Carry out the actions that the member returned, and pass to the tap those that only record something."""
         now = self.env.now()
         for act in list(actions):
             if act.kind == "send":
@@ -53,12 +53,12 @@
                 elif (handle := self.handles.pop(act.connection_id, None)) is not None:
                     handle.finish()
                     if self.tap is not None:
-                        self.tap(now, self.node.name, act)
+                        self.tap(now, self.member.name, act)
             elif act.kind == "connect":
                 self._close_upstream()
                 self.upstream = self.env.connect(act.data.decode(), _UpstreamPeer(self))
             elif self.tap is not None:
-                self.tap(now, self.node.name, act)
+                self.tap(now, self.member.name, act)
         self.timer.reschedule()
 
     def _close_upstream(self) -> None:
@@ -68,7 +68,7 @@
 
     def kill(self) -> None:
         """Fail as a process does at SIGKILL: close every connection and stop listening."""
-        self.node.killed(self.env.now())
+        self.member.killed(self.env.now())
         if self.listener is not None:
             self.listener.close()
             self.listener = None
@@ -76,7 +76,7 @@
         for number, handle in list(self.handles.items()):
             handle.close()
             if self.tap is not None:
-                self.tap(self.env.now(), self.node.name, MemberAction("close", number))
+                self.tap(self.env.now(), self.member.name, MemberAction("close", number))
         self.handles.clear()
 
     def restart(self, cold_share: float, warm_up_seconds: float, keeps_history: bool = False) -> None:
@@ -86,15 +86,15 @@
         """
         if self.listener is None:
             self.listener = self.env.listen(self.address, lambda: _AcceptedPeer(self))
-            self.do(self.node.restarted(self.env.now(), cold_share, warm_up_seconds, keeps_history))
+            self.carry_out(self.member.restarted(self.env.now(), cold_share, warm_up_seconds, keeps_history))
 
 
 class _AcceptedPeer(Peer):
-    """A connection that the node accepted, from a client or a replica."""
+    """A connection that the member accepted, from a client or a replica."""
 
     __slots__ = ("host", "number")
 
-    def __init__(self, host: NodeHost) -> None:
+    def __init__(self, host: MemberHost) -> None:
         self.host = host
         self.number = 0  # of the connection; 0: not up yet
 
@@ -106,11 +106,11 @@
         host.last_connection_id += 1
         self.number = host.last_connection_id
         host.handles[self.number] = handle
-        host.do(host.node.connection_opened(host.env.now(), self.number, handle.source))
+        host.carry_out(host.member.connection_opened(host.env.now(), self.number, handle.source))
 
     def data(self, data: bytes) -> None:
         if self.number in self.host.handles:
-            self.host.do(self.host.node.data_received(self.host.env.now(), self.number, data))
+            self.host.carry_out(self.host.member.data_received(self.host.env.now(), self.number, data))
 
     def eof(self) -> None:
         self.lost("closed")
@@ -120,8 +120,8 @@
         if (handle := host.handles.pop(self.number, None)) is not None:
             handle.close()
             if host.tap is not None:
-                host.tap(host.env.now(), host.node.name, MemberAction("close", self.number, b"other end"))
-            host.do(host.node.connection_lost(host.env.now(), self.number))
+                host.tap(host.env.now(), host.member.name, MemberAction("close", self.number, b"other end"))
+            host.carry_out(host.member.connection_lost(host.env.now(), self.number))
 
 
 class _UpstreamPeer(Peer):
@@ -129,18 +129,18 @@
 
     __slots__ = ("handle", "host")
 
-    def __init__(self, host: NodeHost) -> None:
+    def __init__(self, host: MemberHost) -> None:
         self.host = host
         self.handle: Handle | None = None
 
     def connected(self, handle: Handle) -> None:
         self.handle = handle
         if self.host.upstream is handle:
-            self.host.do(self.host.node.upstream_connected(self.host.env.now()))
+            self.host.carry_out(self.host.member.upstream_connected(self.host.env.now()))
 
     def data(self, data: bytes) -> None:
         if self.host.upstream is self.handle:
-            self.host.do(self.host.node.data_received(self.host.env.now(), UPSTREAM_ID, data))
+            self.host.carry_out(self.host.member.data_received(self.host.env.now(), UPSTREAM_ID, data))
 
     def eof(self) -> None:
         self.lost("closed")
@@ -149,4 +149,4 @@
         host = self.host
         if self.handle is None or host.upstream is self.handle:
             host._close_upstream()
-            host.do(host.node.connection_lost(host.env.now(), UPSTREAM_ID))
+            host.carry_out(host.member.connection_lost(host.env.now(), UPSTREAM_ID))
--- a/banklift/emulator/stand.py
+++ b/banklift/emulator/stand.py
@@ -1,6 +1,6 @@
 """A test stand: the members of a configuration as emulated servers, and routers in front of them.
 
-`Stand` runs the members. `RoutersHere` runs routers in this process, on the same `Env` as the members;
+`Stand` runs the members. `InProcessRouters` runs routers in this process, on the same `Env` as the members;
 `RouterProcesses` runs each router as a process of its own.
 """
 
@@ -22,7 +22,7 @@
 
 from banklift.config import build
 from banklift.emulator.node import RespMember
-from banklift.emulator.shell import NodeHost, Tap
+from banklift.emulator.shell import MemberHost, Tap
 from banklift.net.env import Env
 from banklift.net.router import RouterHost
 from banklift.proxy.machine import Machine
@@ -37,7 +37,7 @@
     """Runs the members of a configuration on `env`, each as an emulated server at its address in the configuration.
 
     The replicas of a group follow the member that the configuration marks as primary. Random draws come from `seed`.
-    `tap` records what the members do (see `NodeHost`). `command_seconds`: work of one command; `apply_seconds`: work
+    `tap` records what the members do (see `MemberHost`). `command_seconds`: work of one command; `apply_seconds`: work
     of applying one replicated write. `numbered_keys`: keys carry numbers of requests (see `Store`).
 
     Errors: `OSError` if a member can't listen at its address.
@@ -55,28 +55,28 @@
     ) -> None:
         self.config = config
         self.env = env
-        self.nodes: dict[str, NodeHost] = {}  # by name of the member
+        self.hosts: dict[str, MemberHost] = {}  # by name of the member
         # By name of the member: ready, draining or gone, as in a roster file.
         self.states: dict[str, str] = {}
         # By name of the member: its last restart, in seconds on the clock of `env`; absent if it never restarted.
-        self.started: dict[str, float] = {}
-        self.roles: dict[str, str] = {}  # by name of the group: the name of its primary
+        self.restarted_at: dict[str, float] = {}
+        self.primaries: dict[str, str] = {}  # by name of the group: the name of its primary
         for group_index, group in enumerate(config.groups):
             for member_index, member in enumerate(group.members):
-                node = RespMember(
+                resp_member = RespMember(
                     member.name,
                     seed * 1000 + group_index * 100 + member_index,  # a different seed for each member
                     command_seconds=command_seconds,
                     apply_seconds=apply_seconds,
                     numbered_keys=numbered_keys,
                 )
-                self.nodes[member.name] = NodeHost(env, node, member.address, tap)
+                self.hosts[member.name] = MemberHost(env, resp_member, member.address, tap)
                 self.states[member.name] = "ready"
-            self.roles[group.name] = self.first_primary(group)
+            self.primaries[group.name] = self.first_primary(group)
         for group in config.groups:
             for member in group.members:
-                if member.name != self.roles[group.name]:
-                    self.follow(member.name, self.roles[group.name])
+                if member.name != self.primaries[group.name]:
+                    self.follow(member.name, self.primaries[group.name])
 
     @staticmethod
     def first_primary(group: Group) -> str:
@@ -85,8 +85,8 @@
 
     def follow(self, name: str, primary: str) -> None:
         """Make member `name` a replica of member `primary`."""
-        host = self.nodes[name]
-        host.do(host.node.follow(self.env.now(), self.nodes[primary].address))
+        host = self.hosts[name]
+        host.carry_out(host.member.follow(self.env.now(), self.hosts[primary].address))
 
     def groups(self, unix_epoch_at: float = 0.0) -> list[Group]:
         """The groups as a roster lists them, without members that are gone and with the roles of the start.
@@ -98,12 +98,12 @@
             members = [
                 {
                     "name": member.name,
-                    "address": self.nodes[member.name].address,
+                    "address": self.hosts[member.name].address,
                     "primary": member.name == self.first_primary(group),
                     "state": self.states[member.name],
                     "started": None
-                    if member.name not in self.started
-                    else self.started[member.name] - unix_epoch_at,
+                    if member.name not in self.restarted_at
+                    else self.restarted_at[member.name] - unix_epoch_at,
                 }
                 for member in group.members
                 if self.states[member.name] != "gone"
@@ -116,9 +116,9 @@
         return [
             {
                 "member": member.name,
-                "address": self.nodes[member.name].address,
+                "address": self.hosts[member.name].address,
                 "group": group.name,
-                "role": "primary" if member.name == self.roles[group.name] else "replica",
+                "role": "primary" if member.name == self.primaries[group.name] else "replica",
             }
             for group in self.config.groups
             for member in group.members
@@ -130,7 +130,7 @@
 
     addresses: list[str]  # host:port at which each router listens for clients
 
-    def roster(self, stand: Stand) -> None:
+    def publish_roster(self, stand: Stand) -> None:
         """Pass the roster of the stand to all routers, after a change of it."""
 
     def kill(self, number: int) -> None:
@@ -143,12 +143,12 @@
         """Stop a router for some seconds, as SIGSTOP and SIGCONT do."""
 
 
-def source(number: int) -> str:
+def router_source_address(number: int) -> str:
     """The IP address from which router `number` connects to members; their taps tell routers apart by it."""
     return f"127.0.1.{number + 1}"
 
 
-class RoutersHere:
+class InProcessRouters:
     """Routers (see `Routers`) in this process, on the `Env` of the stand.
 
     `make` builds the state machine of a router from the configuration and a seed; a test may pass one with a fault.
@@ -184,12 +184,12 @@
             machine,
             address,
             lambda event, fields: self.log(number, event, fields),
-            source(number),
+            router_source_address(number),
         )
         host.handle_event(build.roster(self.stand.config, self.stand.groups(), 0.0))
         return host
 
-    def roster(self, stand: Stand) -> None:
+    def publish_roster(self, stand: Stand) -> None:
         """Pass the roster of the stand to all routers after a delay, which stands for the time to read a file."""
         event = build.roster(stand.config, stand.groups(), 0.0)
         for host in self.hosts:
@@ -228,9 +228,9 @@
         self.addresses: list[str] = []
         self.killed: dict[int, bool] = {}
         self.stalled_until: dict[int, float] = {}  # seconds on the clock of the stand's `Env`
-        self.roster(stand)
+        self.publish_roster(stand)
 
-    def roster(self, stand: Stand) -> None:
+    def publish_roster(self, stand: Stand) -> None:
         """Replace the roster file, by a rename, so that no router reads half of it."""
         path = self.folder / "roster.json"
         temporary = path.with_suffix(".new")
@@ -245,7 +245,7 @@
         settings = msgspec.to_builtins(self.stand.config) | {
             "name": f"router-{number}",
             "listen": address,
-            "source": source(number),
+            "source": router_source_address(number),
             "roster": "roster.json",
             "groups": msgspec.to_builtins(self.stand.groups(self.unix_epoch_at)),
         }
--- a/banklift/emulator/world.py
+++ b/banklift/emulator/world.py
@@ -125,7 +125,7 @@
         self.clock = start
         self.listeners: dict[str, WorldListener] = {}  # by address
         # By address: seconds by which a connection to it comes up later; infinite: never.
-        self.late: dict[str, float] = {}
+        self.connect_delays: dict[str, float] = {}
         self.queue: list[tuple[float, int, Callable[[], None]]] = []  # heap: time, number, callback
         self.events_created = 0  # numbers the events, so that those of one time run in order
         self.last_free_port = LAST_FIXED_PORT
@@ -160,7 +160,7 @@
         `source`: the IP address that the other end sees, 127.0.0.1 by default.
         """
         handle = WorldHandle(self, peer, address.rpartition(":")[0])
-        extra_delay = self.late.get(address, 0.0)
+        extra_delay = self.connect_delays.get(address, 0.0)
         if extra_delay == math.inf:
             return handle
         self.at(
--- a/banklift/judge/day.py
+++ b/banklift/judge/day.py
@@ -19,8 +19,8 @@
 from banklift.config import build
 from banklift.config.load import EXAMPLE, ConfigError, evaluate, load
 from banklift.emulator.node import MemberAction
-from banklift.emulator.shell import NodeHost
-from banklift.emulator.stand import RouterProcesses, Routers, RoutersHere, Stand, source
+from banklift.emulator.shell import MemberHost
+from banklift.emulator.stand import InProcessRouters, RouterProcesses, Routers, Stand, router_source_address
 from banklift.emulator.world import World
 from banklift.interface import Status
 from banklift.judge import forms
@@ -203,7 +203,7 @@
         self.env, self.day, self.config, self.seed = env, day, config, seed
         self.record, self.progress = record, progress
         self.began_at = env.now()
-        self.router_of_source = {source(number): number for number in range(routers)}
+        self.router_of_source = {router_source_address(number): number for number in range(routers)}
         self.unavailable_since: dict[str, float] = {}  # by member that can't be primary: since when
         self.groups_in_election: set[str] = set()
         self.roster_delay = 0.0
@@ -213,18 +213,18 @@
         self.routers: Routers | None = None
         self.clients: Clients | None = None
         for name in day.absent:
-            self.stand.nodes[name].kill()
+            self.stand.hosts[name].kill()
             self.stand.states[name] = "gone"
         self.published_states = dict(self.stand.states)
         for group in config.groups:
-            self._record_primary(self.stand.roles[group.name])
+            self._record_primary(self.stand.primaries[group.name])
 
     def start(self, routers: Routers) -> None:
         """Start clients and the schedule of orders. All routers have to listen already."""
         self.routers = routers
         day = self.day
         self.began_at = self.env.now()
-        self.report_progress(f"{len(routers.addresses)} routers and {len(self.stand.nodes)} members are up")
+        self.report_progress(f"{len(routers.addresses)} routers and {len(self.stand.hosts)} members are up")
         behaviour = ClientBehaviour(
             day.sessions,
             day.retries,
@@ -265,8 +265,8 @@
         self.report_progress(f"all {self.clients.requests_started} requests are over")
         self.clients.close()
         now = self.env.now()
-        for name in self.stand.roles.values():
-            node = self.stand.nodes[name].node
+        for name in self.stand.primaries.values():
+            node = self.stand.hosts[name].member
             self.record(Entry(t=now, k="end", member=name, line=node.replid, offset=node.offset))
             for key in sorted(node.data):
                 value = node.store.apply([b"GET", key], now)
@@ -313,7 +313,9 @@
                         received=event.parent_offset_received,
                     )
                 )
-                if self.stand.roles.get(self._group_of(member).name) == member:  # a primary that restarted
+                if (
+                    self.stand.primaries.get(self._group_of(member).name) == member
+                ):  # a primary that restarted
                     self._record_primary(member)
             case "says":
                 reported = event.args[0].decode(), event.history
@@ -383,12 +385,12 @@
         """The member that a name stands for: `primary:GROUP` and `replica:GROUP:N` follow the current roles."""
         role, _, rest = name.partition(":")
         if role == "primary":
-            return self.stand.roles[rest]
+            return self.stand.primaries[rest]
         if role == "replica":
             group_name, _, number = rest.partition(":")
             group = next(group for group in self.config.groups if group.name == group_name)
             replicas = [
-                member.name for member in group.members if member.name != self.stand.roles[group_name]
+                member.name for member in group.members if member.name != self.stand.primaries[group_name]
             ]
             return replicas[int(number or 0) % len(replicas)]
         return name
@@ -421,12 +423,12 @@
             self.roster_delay = order.value
             return
         if order.member == "*":
-            for member in self.stand.nodes:
+            for member in self.stand.hosts:
                 self._execute(msgspec.structs.replace(order, member=member))
             return
         name = self.resolve_member(order.member)
-        host = stand.nodes[name]
-        faults = host.node.faults
+        host = stand.hosts[name]
+        faults = host.member.faults
         self.report_progress(f"{order.do} {name}" + (f" {order.value:g}" if order.value else ""))
         match order.do:
             case "hang":
@@ -437,7 +439,7 @@
                 )
                 self.unavailable_since[name] = now
             case "thaw":
-                host.do(host.node.end_hang(now))
+                host.carry_out(host.member.end_hang(now))
                 self.unavailable_since.pop(name, None)
                 # the member keeps its role until the control plane tells it otherwise
                 self.env.at(now + self.day.election.takes, lambda: self._follow_primary(name))
@@ -447,7 +449,7 @@
             case "restart":
                 rules = self.config.rules
                 host.restart(rules.cold_share, rules.cold_time)
-                stand.started[name] = now
+                stand.restarted_at[name] = now
                 self.record(Entry(t=now, k="cold", member=name))
                 self._schedule_roster()
                 self.unavailable_since.pop(name, None)
@@ -456,13 +458,13 @@
                 rules = self.config.rules
                 stand.states[name] = "ready"
                 host.restart(rules.cold_share, rules.cold_time)
-                stand.started[name] = now
+                stand.restarted_at[name] = now
                 self.record(Entry(t=now, k="cold", member=name))
                 self._schedule_roster()
                 self._follow_primary(name)
             case "drain":
                 self._set_roster_state(name, "draining")
-                if name in stand.roles.values():
+                if name in stand.primaries.values():
                     self._hand_over_primary(name)
             case "undrain":
                 self._set_roster_state(name, "ready")
@@ -471,7 +473,7 @@
             case "slow":
                 faults.work_factor = order.value
             case "slow_for":
-                faults.work_factor_by_source = {source(order.router): order.value}
+                faults.work_factor_by_source = {router_source_address(order.router): order.value}
             case "tail":
                 faults.tail_work_factor, faults.tail_share = (
                     order.value,
@@ -494,7 +496,7 @@
                 if order.value:
                     faults.withhold_log = True
                 else:
-                    host.do(host.node.release_withheld_log(now))
+                    host.carry_out(host.member.release_withheld_log(now))
             case "understate":
                 faults.reported_load_factor = order.value
 
@@ -513,7 +515,7 @@
     def _publish_roster(self) -> None:
         """Pass the roster to the routers and record each state that changed."""
         assert self.routers is not None
-        self.routers.roster(self.stand)
+        self.routers.publish_roster(self.stand)
         for name, state in self.stand.states.items():
             if self.published_states[name] != state:
                 self.record(Entry(t=self.env.now(), k="told", member=name, value=state))
@@ -529,13 +531,13 @@
 
     def _record_primary(self, name: str) -> None:
         """Record that a member is primary from now on, with its replication history."""
-        self.record(Entry(t=self.env.now(), k="role", member=name, line=self.stand.nodes[name].node.replid))
+        self.record(Entry(t=self.env.now(), k="role", member=name, line=self.stand.hosts[name].member.replid))
 
     def _check_primaries(self) -> None:
         """Start an election in each group whose primary has been unavailable for long enough; runs at intervals."""
         now = self.env.now()
         for group in self.config.groups:
-            primary = self.stand.roles[group.name]
+            primary = self.stand.primaries[group.name]
             since = self.unavailable_since.get(primary)
             if (
                 since is not None
@@ -552,35 +554,35 @@
     def _finish_election(self, group: Group, old_primary: str) -> None:
         """Promote the replica with the most of the log, unless the old primary is back or was replaced."""
         self.groups_in_election.discard(group.name)
-        if old_primary not in self.unavailable_since or self.stand.roles[group.name] != old_primary:
+        if old_primary not in self.unavailable_since or self.stand.primaries[group.name] != old_primary:
             return
         candidates = self._promotion_candidates(group, old_primary)
         if candidates:
-            self._promote(group, max(candidates, key=lambda host: host.node.offset))
+            self._promote(group, max(candidates, key=lambda host: host.member.offset))
 
-    def _promotion_candidates(self, group: Group, old_primary: str) -> list[NodeHost]:
+    def _promotion_candidates(self, group: Group, old_primary: str) -> list[MemberHost]:
         """Members of the group that are available, ready and not the old primary."""
         return [
-            self.stand.nodes[member.name]
+            self.stand.hosts[member.name]
             for member in group.members
             if member.name != old_primary
             and member.name not in self.unavailable_since
             and self.stand.states[member.name] == "ready"
         ]
 
-    def _promote(self, group: Group, new_primary: NodeHost) -> None:
+    def _promote(self, group: Group, new_primary: MemberHost) -> None:
         """Make a member primary and let the available members follow it."""
-        new_primary.do(new_primary.node.promote(self.env.now()))
-        self.stand.roles[group.name] = new_primary.node.name
-        self._record_primary(new_primary.node.name)
-        self.report_progress(f"{new_primary.node.name} is primary of {group.name}")
+        new_primary.carry_out(new_primary.member.promote(self.env.now()))
+        self.stand.primaries[group.name] = new_primary.member.name
+        self._record_primary(new_primary.member.name)
+        self.report_progress(f"{new_primary.member.name} is primary of {group.name}")
         for member in group.members:
             if member.name not in self.unavailable_since:
                 self._follow_primary(member.name)
 
     def _follow_primary(self, name: str) -> None:
         """Let a member replicate from the primary of its group, unless it is that primary."""
-        primary = self.stand.roles[self._group_of(name).name]
+        primary = self.stand.primaries[self._group_of(name).name]
         if primary != name:
             self.stand.follow(name, primary)
 
@@ -589,20 +591,20 @@
 
         After `HANDOVER_TIMEOUT_S` the replica takes over with what it has.
         """
-        group, old_primary = self._group_of(name), self.stand.nodes[name]
+        group, old_primary = self._group_of(name), self.stand.hosts[name]
         candidates = self._promotion_candidates(group, name)
         if not candidates:
             return
-        old_primary.node.refuses_writes = True
-        new_primary = max(candidates, key=lambda host: host.node.offset)
+        old_primary.member.refuses_writes = True
+        new_primary = max(candidates, key=lambda host: host.member.offset)
         deadline = self.env.now() + HANDOVER_TIMEOUT_S
 
         def check_progress() -> None:
-            if new_primary.node.offset < old_primary.node.offset and self.env.now() < deadline:
+            if new_primary.member.offset < old_primary.member.offset and self.env.now() < deadline:
                 self.env.at(self.env.now() + HANDOVER_POLL_S, check_progress)
                 return
             self._promote(group, new_primary)
-            old_primary.node.refuses_writes = False
+            old_primary.member.refuses_writes = False
 
         check_progress()
 
@@ -628,7 +630,7 @@
             for request_class in config.classes
         },
         groups={member.name: group.name for group in config.groups for member in group.members},
-        sources=[source(number) for number in range(routers)],
+        sources=[router_source_address(number) for number in range(routers)],
         drain_grace=rules.drain_grace,
         told_within=ROSTER_READ_S,
         cold_share=rules.cold_share,
@@ -693,7 +695,7 @@
     world = World(seed)
     runner = DayRunner(world, day, config, routers, seed, record, progress)
     begin = world.now()
-    runner.start(RoutersHere(runner.stand, routers, seed, make_machine))
+    runner.start(InProcessRouters(runner.stand, routers, seed, make_machine))
     until = begin + day.seconds
     while not runner.is_finished:
         world.run(until)
--- a/benchmarks/service.py
+++ b/benchmarks/service.py
@@ -22,7 +22,7 @@
 
 import anyio
 
-from banklift.emulator.platform import Catalogue, PgNode
+from banklift.emulator.platform import Catalogue, PgMember
 from banklift.net.env import Handle, Peer
 from banklift.net.sockets import SocketEnv
 from banklift.pg import frames
@@ -183,8 +183,8 @@
         for group in range(3):
             store: dict[bytes, bytes] = {}
             for place in range(3):
-                member = PgNode(env, primary=place == 0, delay=0.03, store=store).start()
-                catalogue.list(f"s{group}{place}", member.address, group, writes=place == 0)
+                member = PgMember(env, primary=place == 0, answer_delay_seconds=0.03, store=store).start()
+                catalogue.update(f"s{group}{place}", member.address, group, writes=place == 0)
         with tempfile.TemporaryDirectory() as folder:
             listen = "127.0.0.1:47411"
             config = {
@@ -193,7 +193,7 @@
                 "discovery": catalogue.address,
                 "seed": "1f",
                 "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
-                "known": catalogue.whole(),
+                "known": catalogue.snapshot(),
                 "settings": SETTINGS,
             }
             path = os.path.join(folder, "config.json")
--- a/tests/fake_members.py
+++ b/tests/fake_members.py
@@ -13,11 +13,11 @@
 HANG_TIMEOUT_SECONDS = 60.0  # ends a test that hangs
 
 
-class FakeMember:
+class FakeGrantor:
     """Listens on a free port of 127.0.0.1, in a thread of its own, until `close`.
 
     It answers a `Hello` with `greeting` (by default a `Hello` of its own) and any other message with what `reply`
-    returns. `silent`: it reads and never answers. `heard`: all messages it received.
+    returns. `silent`: it reads and never answers. `received`: all messages it received.
     """
 
     def __init__(
@@ -26,7 +26,7 @@
         self.reply = reply
         self.silent = silent
         self.greeting = greeting or Hello(PROTOCOL_VERSION, "game", name, 1, (), 0.0)
-        self.heard: list[Message] = []
+        self.received: list[Message] = []
         self._listener = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self._listener.getsockname()[1]}"
         self._connections: list[socket.socket] = []
@@ -51,7 +51,7 @@
         frames = FrameDecoder()
         while data := connection.recv(65536):
             for message in frames.feed(data):
-                self.heard.append(message)
+                self.received.append(message)
                 if self.silent:
                     continue
                 answers = [self.greeting] if isinstance(message, Hello) else self.reply(message)
@@ -68,10 +68,10 @@
 
 
 @contextmanager
-def fake_members(**replies: Reply) -> Iterator[dict[str, FakeMember]]:
+def fake_grantors(**replies: Reply) -> Iterator[dict[str, FakeGrantor]]:
     """Run a fake member for each name with its reply, and close them in the end."""
     with ExitStack() as stack:
-        members = {name: FakeMember(name, reply) for name, reply in replies.items()}
+        members = {name: FakeGrantor(name, reply) for name, reply in replies.items()}
         for member in members.values():
             stack.callback(member.close)
         yield members
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -8,7 +8,7 @@
 
 from banklift.adapter import parse_settings
 from banklift.discovery import catalogue
-from banklift.emulator.platform import Catalogue, PgNode
+from banklift.emulator.platform import Catalogue, PgMember
 from banklift.emulator.world import World
 from banklift.net.env import Handle, Peer
 from banklift.net.service import Service, StartConfig
@@ -145,14 +145,14 @@
         self.world = world or World(1)
         self.ids = 0
         store: dict[bytes, bytes] = {}
-        self.nodes = {
-            name: PgNode(self.world, f"10.0.0.{number}:6432", name == "p", delay, store).start()
+        self.members = {
+            name: PgMember(self.world, f"10.0.0.{number}:6432", name == "p", delay, store).start()
             for number, name in enumerate(("p", "r1", "r2"), 1)
         }
         self.catalogue = Catalogue(self.world, "10.9.0.1:8500").start()
-        for name, node in self.nodes.items():
-            self.catalogue.list(name, node.address, writes=node.primary)
-        known = catalogue.from_json(self.catalogue.whole())
+        for name, member in self.members.items():
+            self.catalogue.update(name, member.address, writes=member.primary)
+        known = catalogue.from_json(self.catalogue.snapshot())
         self.start = StartConfig(
             "n0",
             "10.1.0.1:6432",
@@ -215,10 +215,10 @@
 
     def assert_no_leftovers(self) -> None:
         """Check that the router's attempts in flight are those that members hold, and that no ended request is kept."""
-        for name, node in self.nodes.items():
-            member = self.machine.balancer.members.get(name)
-            assert (len(member.in_flight) if member is not None else 0) == node.open, name
-        assert len(self.machine.in_flight) == sum(node.open for node in self.nodes.values())
+        for name, member in self.members.items():
+            known = self.machine.balancer.members.get(name)
+            assert (len(known.in_flight) if known is not None else 0) == member.in_flight, name
+        assert len(self.machine.in_flight) == sum(member.in_flight for member in self.members.values())
         if not self.machine.in_flight:
             assert not self.machine.pending and not self.front.pending and not self.front.pending_ids
             assert not self.machine.balancer.requests
--- a/tests/test_cli_fleet.py
+++ b/tests/test_cli_fleet.py
@@ -35,7 +35,7 @@
 from banklift.fleet.state import Change, Outcome, Result, State
 from banklift.net.operator import NoAnswer, show_each
 from banklift.proxy.fleet_plan import Aggregator, Fleet
-from tests.fake_members import FakeMember, fake_members, free_address
+from tests.fake_members import FakeGrantor, fake_grantors, free_address
 
 LEASE = 9.0  # seconds
 CHANGE = Change("3-abc", b"{}", 2, "v0", 18.0)
@@ -231,7 +231,7 @@
     voter_answer = shown(
         aggregator("a0", waiting=2), aggregator("a1", routers=41), router("v0", ()), state=CHANGING
     )
-    with fake_members(v0=always_reply(voter_answer)) as members:
+    with fake_grantors(v0=always_reply(voter_answer)) as members:
         path = write(
             tmp_path,
             {"v0": members["v0"].address},
@@ -255,13 +255,13 @@
         "in trouble: a0: 2 of its routers have not answered change 3-abc",
     ):
         assert line in lines, lines
-    hello = members["v0"].heard[0]
+    hello = members["v0"].received[0]
     assert isinstance(hello, Hello) and hello.role is Role.OPERATOR and hello.version == PROTOCOL_VERSION
 
 
 def test_json_output_has_the_expected_keys(tmp_path: Path) -> None:
     voter_answer = shown(aggregator("a0"), router("v0"), trouble=(Trouble("v1", "no link"),))
-    with fake_members(v0=always_reply(voter_answer)) as members:
+    with fake_grantors(v0=always_reply(voter_answer)) as members:
         path = write(tmp_path, {"v0": members["v0"].address}, {"a0": "127.0.0.1:9000"})
         result = run("fleet", "--config", str(path), "--json")
     assert result.exit_code == 0
@@ -301,11 +301,11 @@
     voter_answer = shown(aggregator("a0", routers=1), aggregator("a1"))
     aggregator_answer = Shown(STATE, "a0", "aggregator", {}, (router("r1"),), ())
     gone = free_address()
-    with fake_members(v0=always_reply(voter_answer), a0=always_reply(aggregator_answer)) as members:
+    with fake_grantors(v0=always_reply(voter_answer), a0=always_reply(aggregator_answer)) as members:
         path = write(tmp_path, {"v0": members["v0"].address}, {"a0": members["a0"].address, "a1": gone})
         as_json = run("fleet", "--config", str(path), "--routers", "--json")
         table = run("fleet", "--config", str(path), "--routers")
-        assert Show() in members["a0"].heard
+        assert Show() in members["a0"].received
     assert (as_json.exit_code, table.exit_code) == (0, 0)
     output = json.loads(as_json.stdout)
     assert list(output["routers_of"]) == ["a0"]
@@ -318,7 +318,7 @@
 
 def test_long_list_of_direct_routers_is_cut_unless_all_are_requested(tmp_path: Path) -> None:
     voter_answer = shown(*(router(f"r{number}") for number in range(2000)))
-    with fake_members(v0=always_reply(voter_answer)) as members:
+    with fake_grantors(v0=always_reply(voter_answer)) as members:
         path = write(tmp_path, {"v0": members["v0"].address})
         short = run("fleet", "--config", str(path))
         whole = run("fleet", "--config", str(path), "--routers")
@@ -329,7 +329,7 @@
 
 
 def test_request_to_members_that_never_answer_times_out() -> None:
-    silent = [FakeMember(f"a{number}", always_reply(), silent=True) for number in range(3)]
+    silent = [FakeGrantor(f"a{number}", always_reply(), silent=True) for number in range(3)]
     try:
         addresses = {f"a{number}": member.address for number, member in enumerate(silent)}
         assert anyio.run(show_each, addresses, "game", 0.2) == {
@@ -349,14 +349,14 @@
 
 
 def test_voter_without_the_state_is_skipped(tmp_path: Path) -> None:
-    with fake_members(v0=always_reply(shown(state=None)), v1=always_reply(shown())) as members:
+    with fake_grantors(v0=always_reply(shown(state=None)), v1=always_reply(shown())) as members:
         path = write(tmp_path, {name: member.address for name, member in members.items()})
         result = run("policy", "show", "--config", str(path))
     assert result.exit_code == 0 and json.loads(result.stdout)["epoch"] == STATE.epoch
 
 
 def test_policy_show_exits_with_3_if_no_voter_has_the_state(tmp_path: Path) -> None:
-    with fake_members(v0=always_reply(shown(state=None)), v1=always_reply(shown(state=None))) as members:
+    with fake_grantors(v0=always_reply(shown(state=None)), v1=always_reply(shown(state=None))) as members:
         path = write(tmp_path, {name: member.address for name, member in members.items()})
         result = run("policy", "show", "--config", str(path))
     assert (result.exit_code, result.stderr) == (3, "this fleet has no policy yet\n")
@@ -366,7 +366,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(fleet_client, "SHOW_TIMEOUT_S", 0.5)
-    member = FakeMember(
+    member = FakeGrantor(
         "v0", always_reply(), greeting=Bye("version 2 of the fleet's messages, here it is 1", True)
     )
     try:
@@ -425,10 +425,10 @@
     def reply(message: Message) -> list[Message]:
         return [*progress, answer] if isinstance(message, Set) else [shown()]
 
-    with fake_members(v0=reply) as members:
+    with fake_grantors(v0=reply) as members:
         path = write(tmp_path, {"v0": members["v0"].address})
         result = run("policy", "set", str(policy_file(tmp_path)), "--config", str(path))
-        requests = [message for message in members["v0"].heard if isinstance(message, Set)]
+        requests = [message for message in members["v0"].received if isinstance(message, Set)]
     assert (result.exit_code, result.stdout) == (code, out)
     assert result.stderr.endswith("checking: r17 has not answered for 1.0 s (and 1 more)\nagreed\n" + errors)
     assert [(request.change.partition("-")[0], request.patience, request.dry) for request in requests] == [
@@ -438,7 +438,7 @@
 
 def test_voter_that_does_not_vote_is_skipped(tmp_path: Path) -> None:
     not_voting = NotProposed("3-abc", "voter v0 does not vote: it waits for v1", True)
-    with fake_members(v0=always_reply(not_voting), v1=always_reply(ended(Result.FINE))) as members:
+    with fake_grantors(v0=always_reply(not_voting), v1=always_reply(ended(Result.FINE))) as members:
         path = write(tmp_path, {name: member.address for name, member in members.items()})
         arguments = (
             "policy",
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -17,7 +17,7 @@
 import redis.asyncio
 
 from banklift.config.load import EXAMPLE, load
-from banklift.emulator.stand import RoutersHere, Stand
+from banklift.emulator.stand import InProcessRouters, Stand
 from banklift.net.sockets import SocketEnv
 from banklift.proxy.plan import Config, Limits, User
 from banklift.resp.frames import command
@@ -42,7 +42,7 @@
         try:
             async with anyio.create_task_group() as tasks, anyio.from_thread.BlockingPortal() as self.portal:
                 self.stand = Stand(self.config, SocketEnv(tasks))
-                self.routers = RoutersHere(self.stand, 2, 1)
+                self.routers = InProcessRouters(self.stand, 2, 1)
                 self.ready.set()
                 await self.stop.wait()
                 tasks.cancel_scope.cancel()
@@ -346,13 +346,13 @@
             client.set("pick:1", "a")
             name = next(
                 name
-                for name, host in site.stand.nodes.items()
-                if b"pick:1" in host.node.data and host.node.primary is None
+                for name, host in site.stand.hosts.items()
+                if b"pick:1" in host.member.data and host.member.primary is None
             )
-            site.call(lambda: setattr(site.stand.nodes[name].node.faults, "hang", True))
+            site.call(lambda: setattr(site.stand.hosts[name].member.faults, "hang", True))
             with pytest.raises(redis.ResponseError, match="UNCERTAIN failed: it may have run"):
                 client.set("pick:1", "b")
-            site.call(site.stand.nodes[name].kill)
+            site.call(site.stand.hosts[name].kill)
             with pytest.raises(redis.exceptions.TryAgainError, match="refused: nothing ran; retry_after_ms="):
                 client.set("pick:1", "c")
 
@@ -365,14 +365,14 @@
             # in the other group a repeatable write is never answered: TRYAGAIN too, with a text that says so
             other = next(
                 host
-                for host in site.stand.nodes.values()
-                if host.node.primary is None and host.listener is not None
+                for host in site.stand.hosts.values()
+                if host.member.primary is None and host.listener is not None
             )
             keys = (f"note:{number}" for number in range(100))
             key = next(key for key in keys if slot(key.encode()) // 8192 != slot(b"pick:1") // 8192)
             client.set(key, "a")
-            assert key.encode() in other.node.data
-            site.call(lambda: setattr(other.node.faults, "hang", True))
+            assert key.encode() in other.member.data
+            site.call(lambda: setattr(other.member.faults, "hang", True))
             with pytest.raises(redis.exceptions.TryAgainError, match="it may have run and is safe to repeat"):
                 client.set(key, "b")
             assert client.ping()  # the connection stays usable
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -80,7 +80,7 @@
     signalled_at = world.now()
     site.run(late)
     site.service.handle_signal(signal.SIGTERM, signalled_at)
-    site.nodes["p"].answers.extend([lambda node, statement: None] * 2)
+    site.members["p"].next_answers.extend([lambda member, statement: None] * 2)
     site.run(1.41 - late)
     silent.send(frames.query(site.write().encode()))
     fresh.send(frames.query(site.read("view", "k").encode()))
@@ -120,8 +120,8 @@
     for caller in resting:
         assert value(caller.query(site.read("any", "k"), 0.1))
     waiting = [SiteClient(site) for _ in range(16)]
-    for node in site.nodes.values():
-        node.answers.extend([lambda node, statement: None] * 24)
+    for member in site.members.values():
+        member.next_answers.extend([lambda member, statement: None] * 24)
     # writes, some of which wait for a link, and reads, which are retried elsewhere
     for index, caller in enumerate(waiting):
         caller.handle.send(frames.query((site.write() if index % 2 else site.read("view", "k")).encode()))
@@ -136,7 +136,7 @@
     site.run(signalled_at + MIN_KILL_DELAY_SECONDS + DEADLINE - world.now())
     assert not site.machine.pending and 0 < world.ended <= signalled_at + MIN_KILL_DELAY_SECONDS + DEADLINE
     for caller in waiting:
-        # the nodes never answer
+        # the members never answer
         assert [kind for kind, _ in caller.received_messages()] == ["E", "Z"] and caller.closed
     assert [kind for kind, _ in late.received_messages()][-2:] in (["C", "Z"], ["E", "Z"])
     assert half.closed and late.closed and all(caller.closed for caller in resting)
@@ -167,11 +167,11 @@
 def test_a_request_with_a_deadline_after_the_kill_is_answered_before_it(silent: bool) -> None:
     site = Site(world=ServiceWorld(1), settings=REPORTS)
     world, caller = cast(ServiceWorld, site.world), SiteClient(site)
-    for node in site.nodes.values():
+    for member in site.members.values():
         if silent:
-            node.answers.extend([lambda node, statement: None] * 3)
+            member.next_answers.extend([lambda member, statement: None] * 3)
         else:
-            node.stop()  # no member can be reached, so the request waits in the router
+            member.stop()  # no member can be reached, so the request waits in the router
     caller.send(frames.query(site.read("report", "k", timeout_ms=8000).encode()), 0.5)
     signalled_at = world.now()
     site.service.handle_signal(signal.SIGTERM, signalled_at)
--- a/tests/test_many_members.py
+++ b/tests/test_many_members.py
@@ -7,7 +7,7 @@
 
 from banklift.adapter import parse_settings
 from banklift.discovery import catalogue as lists
-from banklift.emulator.platform import Catalogue, PgNode
+from banklift.emulator.platform import Catalogue, PgMember
 from banklift.emulator.world import World
 from banklift.net.service import Service, StartConfig, parse
 from banklift.net.sockets import SocketEnv
@@ -24,14 +24,14 @@
         self.ids = 0
         self.notes = []
         self.catalogue = Catalogue(self.world, "10.9.0.1:8500").start()
-        self.nodes = {}
+        self.members = {}
         for index in range(MEMBERS):
             name = f"s-{index:08x}"
             primary = index < GROUPS
-            node = PgNode(self.world, f"10.0.{index // 250}.{index % 250 + 1}:6432", primary).start()
-            self.nodes[name] = node
-            self.catalogue.list(name, node.address, index % GROUPS, writes=primary)
-        listing = self.catalogue.whole()
+            member = PgMember(self.world, f"10.0.{index // 250}.{index % 250 + 1}:6432", primary).start()
+            self.members[name] = member
+            self.catalogue.update(name, member.address, index % GROUPS, writes=primary)
+        listing = self.catalogue.snapshot()
         environment = {
             "ROUTER_NAME": "n0",
             "ROUTER_LISTEN": "10.1.0.1:6432",
@@ -61,7 +61,7 @@
     for round_number in range(10):
         for group in range(GROUPS):
             assert value(caller.query(fleet.read("any", f"k{group}-{round_number}", cluster=group), 0.1))
-    assert sum(bool(node.seen) for node in fleet.nodes.values()) > 400
+    assert sum(bool(member.statements) for member in fleet.members.values()) > 400
     assert len(fleet.machine.links) <= fleet.machine.limits.all_links < 300
 
 
@@ -74,16 +74,18 @@
 def test_all_members_come_by_discovery_and_change_at_once() -> None:
     fleet = Fleet(known=False)
     assert len(fleet.machine.members) == MEMBERS
-    for name, node in list(fleet.nodes.items())[GROUPS:]:
-        fleet.catalogue.list(name, node.address, int(name[2:], 16) % GROUPS, state="DRAINING")
+    for name, member in list(fleet.members.items())[GROUPS:]:
+        fleet.catalogue.update(name, member.address, int(name[2:], 16) % GROUPS, state="DRAINING")
     fleet.run(1.0)
     draining = [member for member in fleet.machine.members.values() if member.state.name == "DRAINING"]
     assert len(draining) == MEMBERS - GROUPS
-    for name, node in list(fleet.nodes.items())[GROUPS:]:
-        fleet.catalogue.list(name, node.address, int(name[2:], 16) % GROUPS)
+    for name, member in list(fleet.members.items())[GROUPS:]:
+        fleet.catalogue.update(name, member.address, int(name[2:], 16) % GROUPS)
     fleet.run(1.0)
     check_that_all_groups_are_served(fleet)
-    assert lists.parse(json.dumps(fleet.catalogue.whole()).encode()).targets[-1].uid == f"s-{MEMBERS - 1:08x}"
+    assert (
+        lists.parse(json.dumps(fleet.catalogue.snapshot()).encode()).targets[-1].uid == f"s-{MEMBERS - 1:08x}"
+    )
 
 
 def test_the_longest_idle_link_is_closed_to_make_room() -> None:
@@ -98,7 +100,7 @@
     assert idle_since == sorted(idle_since)
     linked_before = {link.member.name for link in fleet.machine.links.values()}
     longest_idle = next(iter(fleet.machine.idle_links.values())).member.name
-    unlinked = next(name for name in fleet.nodes if name not in linked_before)
+    unlinked = next(name for name in fleet.members if name not in linked_before)
     fleet.machine.call_at(fleet.world.now(), lambda: fleet.machine.probe(fleet.machine.members[unlinked]))
     fleet.host.timer.reschedule()
     fleet.run(0.05)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from banklift.emulator.platform import PgNode, row
+from banklift.emulator.platform import PgMember, single_value_answer
 from banklift.interface import State
 from banklift.pg import frames
 from banklift.pg.statement import BadStatement, parse
@@ -23,7 +23,7 @@
     site = Site()
     caller = SiteClient(site)
     assert value(caller.query(site.write("k", "9f03"))) == b"\x9f\x03"
-    assert len(site.nodes["p"].seen) == 1
+    assert len(site.members["p"].statements) == 1
     after = int(site.world.now() * 1000)
     assert value(caller.query(site.read("own", "k", after=after), 0.2)) == b"\x9f\x03"
     assert value(caller.query(site.read("any", "k"))) == b"\x9f\x03"
@@ -34,7 +34,7 @@
     site = Site()
     text = site.write("k", "9f03", timeout_ms=1500)
     SiteClient(site).query(text)
-    (seen,) = site.nodes["p"].seen
+    (seen,) = site.members["p"].statements
     before, behind = text.encode().split(b"d=1500")
     assert seen.startswith(before + b"d=1") and seen.endswith(behind)
     left = int(seen[len(before) + 2 :].split(b",")[0])
@@ -74,7 +74,8 @@
 def test_answers_go_out_in_the_order_of_the_commands() -> None:
     site = Site(delay=0.02)
     caller = SiteClient(site)
-    site.nodes["p"].answers.append(lambda node, statement: None)  # the primary never answers the first write
+    # the primary never answers the first write
+    site.members["p"].next_answers.append(lambda member, statement: None)
     first, second = site.write("a", "01"), site.read("any", "b")
     caller.send(frames.query(first.encode()) + frames.query(second.encode()) + frames.query(b""), 0.3)
     assert caller.received_messages() == []  # the read is answered, but waits for the write in front of it
@@ -126,7 +127,7 @@
     site = Site()
     caller, other = SiteClient(site), SiteClient(site)
     assert code(caller.query(text(site))) == expected
-    assert not any(node.seen for node in site.nodes.values())
+    assert not any(member.statements for member in site.members.values())
     assert value(caller.query(site.write()))  # this connection and the others are still usable
     assert value(other.query(site.write()))
     site.assert_no_leftovers()
@@ -150,7 +151,7 @@
     assert value(first.received_messages()) == b"\x01"
     # the first request has ended
     assert value(second.query(site.write("b", "02", id="feed"), 0.2)) == b"\x02"
-    assert len(site.nodes["p"].seen) == 2
+    assert len(site.members["p"].statements) == 2
 
 
 @pytest.mark.parametrize(
@@ -177,7 +178,7 @@
     caller = SiteClient(site, start=False)
     caller.send(data)
     assert caller.closed and caller.received.count(b"VFATAL\0") == 1
-    assert not site.front.clients and not any(node.seen for node in site.nodes.values())
+    assert not site.front.clients and not any(member.statements for member in site.members.values())
 
 
 START = frames.startup("backend", "store")
@@ -228,12 +229,12 @@
     site = Site(delay=0.2)
     caller = SiteClient(site)
     caller.send(frames.query(site.write("k", "01").encode()))
-    assert site.nodes["p"].open == 1
+    assert site.members["p"].in_flight == 1
     caller.handle.close()
     site.run(0.05)
     assert not site.machine.pending and not site.front.clients
     site.run(0.5)
-    assert len(site.nodes["p"].seen) == 1  # the write ran once
+    assert len(site.members["p"].statements) == 1  # the write ran once
     site.assert_no_leftovers()
 
 
@@ -266,8 +267,8 @@
 
 def test_a_refusal_carries_the_time_to_retry() -> None:
     site = Site()
-    for node in site.nodes.values():
-        node.stop()
+    for member in site.members.values():
+        member.stop()
     (told,) = [body for kind, body in SiteClient(site).query(site.write(), 1.5) if kind == "E"]
     fields = frames.error_fields(told)
     assert (fields["C"], fields["D"]) == ("53300", "1000")
@@ -275,8 +276,8 @@
 
 def test_a_write_that_no_member_got_is_refused_before_half_of_its_deadline() -> None:
     site = Site()
-    for node in site.nodes.values():
-        node.stop()
+    for member in site.members.values():
+        member.stop()
     caller = SiteClient(site)
     caller.send(frames.query(site.write().encode()), 0.5)
     assert caller.received_messages() == []
@@ -289,10 +290,10 @@
 
 MALFORMED: list[tuple[str, bytes]] = [
     ("noise", random.Random(3).randbytes(400)),
-    ("noise behind a row", row(b"01")[:-12] + random.Random(4).randbytes(100)),
+    ("noise behind a row", single_value_answer(b"01")[:-12] + random.Random(4).randbytes(100)),
     ("no end", b"x" * 200_000),
-    ("half an answer", row(b"1")[:-20]),
-    ("three gigabytes", row(b"1")[:40] + b"D\xc0\0\0\0" + b"y" * 90_000),
+    ("half an answer", single_value_answer(b"1")[:-20]),
+    ("three gigabytes", single_value_answer(b"1")[:40] + b"D\xc0\0\0\0" + b"y" * 90_000),
     ("a negative length", b"T\xff\xff\xff\xff" + b"z" * 50),
     ("a length too small", b"T\0\0\0\x03zz"),
     (
@@ -302,21 +303,22 @@
         + frames.message(b"C", b"SELECT 1\0")
         + frames.READY_FOR_QUERY,
     ),
-    ("a row too many", row(b"1")[:-14] + row(b"2") + frames.READY_FOR_QUERY),
+    ("a row too many", single_value_answer(b"1")[:-14] + single_value_answer(b"2") + frames.READY_FOR_QUERY),
     ("no row", frames.message(b"C", b"SELECT 0\0") + frames.READY_FOR_QUERY),
     (
         "a value that is shorter than its row",
-        row(b"12345678").replace(b"\0\0\0\x0812345678", b"\0\0\0\x0412345678") + frames.READY_FOR_QUERY,
+        single_value_answer(b"12345678").replace(b"\0\0\0\x0812345678", b"\0\0\0\x0412345678")
+        + frames.READY_FOR_QUERY,
     ),
     (
         "a value of a negative length",
-        row(b"").replace(b"D\0\0\0\x0a\0\x01\0\0\0\0", b"D\0\0\0\x0a\0\x01\xff\xff\xff\xff")
+        single_value_answer(b"").replace(b"D\0\0\0\x0a\0\x01\0\0\0\0", b"D\0\0\0\x0a\0\x01\xff\xff\xff\xff")
         + frames.READY_FOR_QUERY,
     ),
     ("an error without an end", frames.message(b"E", b"C53300") + frames.READY_FOR_QUERY),
     (
         "an error behind a row",
-        row(b"1")[:-14] + frames.error_response("53300", "full") + frames.READY_FOR_QUERY,
+        single_value_answer(b"1")[:-14] + frames.error_response("53300", "full") + frames.READY_FOR_QUERY,
     ),
     ("an authentication", frames.AUTHENTICATION_OK + frames.READY_FOR_QUERY),
 ]
@@ -328,12 +330,12 @@
     caller = SiteClient(site)
     assert value(caller.query(site.write("k", "01")))
     site.run(0.01)
-    links = {peer for peer in site.nodes["p"].connections if peer.asked}
-    site.nodes["p"].answers.append(lambda node, statement: answer)
+    links = {peer for peer in site.members["p"].connections if peer.statement_count}
+    site.members["p"].next_answers.append(lambda member, statement: answer)
     told = caller.query(site.write("k", "02"), 0.2)  # half an answer is given up before the deadline
     assert code(told) == "40003"
-    assert len(site.nodes["p"].seen) == 2  # an unsafe write is not retried
-    assert links and not links & site.nodes["p"].connections
+    assert len(site.members["p"].statements) == 2  # an unsafe write is not retried
+    assert links and not links & site.members["p"].connections
     site.assert_no_leftovers()
 
 
@@ -341,14 +343,16 @@
     site = Site()
     caller = SiteClient(site)
     malformed = [b"\0noise"]
-    for node in site.nodes.values():
-        node.answers.append(lambda node, statement: malformed.pop() if malformed else node.answer(statement))
+    for member in site.members.values():
+        member.next_answers.append(
+            lambda member, statement: malformed.pop() if malformed else member.default_answer(statement)
+        )
     assert value(caller.query(site.read("any"), 0.2)) == b"none"
-    assert sum(len(node.seen) for node in site.nodes.values()) == 2
+    assert sum(len(member.statements) for member in site.members.values()) == 2
 
 
 @pytest.mark.parametrize(
-    "more", [row(b"theirs") + frames.READY_FOR_QUERY, b"noise", frames.READY_FOR_QUERY, b"S"]
+    "more", [single_value_answer(b"theirs") + frames.READY_FOR_QUERY, b"noise", frames.READY_FOR_QUERY, b"S"]
 )
 @pytest.mark.parametrize("later", [False, True])
 def test_a_good_answer_with_more_bytes_behind_it_is_served_and_its_link_closed(
@@ -356,17 +360,17 @@
 ) -> None:
     site = Site()
     caller = SiteClient(site)
-    primary = site.nodes["p"]
+    primary = site.members["p"]
 
-    def answer(node: PgNode, statement: bytes) -> bytes:
-        usual = node.answer(statement)
+    def answer(member: PgMember, statement: bytes) -> bytes:
+        usual = member.default_answer(statement)
         if not later:
             return usual + more
-        (peer,) = [peer for peer in node.connections if peer.open]
-        node.env.at(node.env.now() + 0.001, lambda: peer.say(more))
+        (peer,) = [peer for peer in member.connections if peer.in_flight]
+        member.env.at(member.env.now() + 0.001, lambda: peer.send(more))
         return usual
 
-    primary.answers.append(answer)
+    primary.next_answers.append(answer)
     caller.send(
         frames.query(site.write("k", "01").encode()) + frames.query(site.write("k", "02").encode()), 0.0012
     )
@@ -379,9 +383,9 @@
 
 def test_an_unparsable_load_report_does_not_affect_its_answer() -> None:
     site = Site()
-    site.nodes["p"].answers.append(
-        lambda node, statement: (
-            node.answer(statement)[:-6]
+    site.members["p"].next_answers.append(
+        lambda member, statement: (
+            member.default_answer(statement)[:-6]
             + frames.parameter_status("usage", "inflight=x")
             + frames.READY_FOR_QUERY
         )
@@ -392,8 +396,10 @@
 def test_a_position_ahead_of_the_clock_is_dropped() -> None:
     site = Site()
     ahead = frames.parameter_status("commit_clock", str(int((site.world.now() + 60) * 1000)))
-    for node in site.nodes.values():
-        node.answers.append(lambda node, statement: row(b"x") + ahead + frames.READY_FOR_QUERY)
+    for member in site.members.values():
+        member.next_answers.append(
+            lambda member, statement: single_value_answer(b"x") + ahead + frames.READY_FOR_QUERY
+        )
     caller = SiteClient(site)
     caller.query(site.read("any"), 0.1)
     assert all(member.position <= site.world.now() for member in site.machine.balancer.members.values())
@@ -411,14 +417,14 @@
 @pytest.mark.parametrize(("error", "expected"), OUTCOMES)
 def test_the_outcome_of_a_write_for_each_error_of_a_member(error: str, expected: str) -> None:
     site = Site()
-    for node in site.nodes.values():
-        node.answers.extend(
-            [lambda node, statement: frames.error_response(error, "no") + frames.READY_FOR_QUERY] * 20
+    for member in site.members.values():
+        member.next_answers.extend(
+            [lambda member, statement: frames.error_response(error, "no") + frames.READY_FOR_QUERY] * 20
         )
     caller = SiteClient(site)
     told = caller.query(site.write("k", "01"), 2.2)
     assert code(told) == expected
-    assert (len(site.nodes["p"].seen) == 1) or expected == "53300"
+    assert (len(site.members["p"].statements) == 1) or expected == "53300"
     site.assert_no_leftovers()
 
 
@@ -426,7 +432,7 @@
     site = Site(delay=0.05)
     caller = SiteClient(site)
     caller.send(frames.query(site.write().encode()))
-    site.nodes["p"].stop()
+    site.members["p"].stop()
     site.run(0.1)
     assert code(caller.received_messages()) == "40003"
     site.assert_no_leftovers()
@@ -438,12 +444,12 @@
     assert value(caller.query(site.write("k", "01")))
     late_answers: list[Callable[[], None]] = []
 
-    def silent(node: PgNode, statement: bytes) -> bytes | None:
-        (peer,) = [peer for peer in node.connections if peer.open]
-        late_answers.append(lambda: peer.say(node.answer(statement)))
+    def silent(member: PgMember, statement: bytes) -> bytes | None:
+        (peer,) = [peer for peer in member.connections if peer.in_flight]
+        late_answers.append(lambda: peer.send(member.default_answer(statement)))
         return None
 
-    site.nodes["p"].answers.append(silent)
+    site.members["p"].next_answers.append(silent)
     told = caller.query(site.write("k", "02"), 2.0)
     assert code(told) == "40003"
     late_answers[0]()
@@ -456,34 +462,34 @@
     caller = SiteClient(site)
     for _ in range(8):
         assert value(caller.query(site.read("any"))) == b"none"
-    site.catalogue.list("r1", site.nodes["r1"].address, state="DRAINING")
+    site.catalogue.update("r1", site.members["r1"].address, state="DRAINING")
     site.run(0.05)
-    before = len(site.nodes["r1"].seen)
+    before = len(site.members["r1"].statements)
     for _ in range(8):
         assert value(caller.query(site.read("any"))) == b"none"
-    assert len(site.nodes["r1"].seen) == before
-    assert all(peer.open == 0 for peer in site.nodes["r1"].connections)
-    site.catalogue.list("r1", site.nodes["r1"].address, state="DELETED")
+    assert len(site.members["r1"].statements) == before
+    assert all(peer.in_flight == 0 for peer in site.members["r1"].connections)
+    site.catalogue.update("r1", site.members["r1"].address, state="DELETED")
     site.run(0.05)
     assert "r1" not in site.machine.members and "r1" not in site.machine.balancer.members
-    assert not site.nodes["r1"].connections
+    assert not site.members["r1"].connections
 
 
 def test_a_new_id_at_an_old_address_is_a_new_member_and_a_moved_member_is_used_at_its_new_address() -> None:
     site = Site()
     caller = SiteClient(site)
     caller.query(site.read("any"))
-    address = site.nodes["r1"].address
-    site.catalogue.list("r1", address, state="DELETED")
-    site.catalogue.list("r9", address)
-    moved = PgNode(site.world, "10.0.0.77:6432").start()
-    site.catalogue.list("r2", moved.address)
+    address = site.members["r1"].address
+    site.catalogue.update("r1", address, state="DELETED")
+    site.catalogue.update("r9", address)
+    moved = PgMember(site.world, "10.0.0.77:6432").start()
+    site.catalogue.update("r2", moved.address)
     site.run(0.1)
     assert sorted(site.machine.members) == ["p", "r2", "r9"]
     assert site.machine.members["r2"].address == moved.address
     for _ in range(30):
         assert value(caller.query(site.read("any"))) == b"none"
-    assert moved.seen and not site.nodes["r2"].connections
+    assert moved.statements and not site.members["r2"].connections
     assert len(site.machine.balancer.members) == 3
 
 
@@ -507,9 +513,9 @@
         assert value(caller.query(site.write(f"key{turn}")))
         caller.query(site.read("own", f"key{turn}"), 0.05)
         caller.handle.close()
-        site.catalogue.list(f"n{turn}", "10.0.0.3:6432")
+        site.catalogue.update(f"n{turn}", "10.0.0.3:6432")
         site.run(0.02)
-        site.catalogue.list(f"n{turn}", "10.0.0.3:6432", state="DELETED")
+        site.catalogue.update(f"n{turn}", "10.0.0.3:6432", state="DELETED")
         site.run(0.02)
     site.run(30.0)
     site.assert_no_leftovers()
@@ -526,7 +532,7 @@
 def test_discovery_is_asked_again_after_a_failure_at_a_bounded_rate() -> None:
     site = Site()
     site.catalogue.failing = True
-    site.catalogue.list("r1", site.nodes["r1"].address, state="DRAINING")
+    site.catalogue.update("r1", site.members["r1"].address, state="DRAINING")
     site.run(1.0)
     assert any(event == "discovery failed" for event, _ in site.notes)
     calls = len(site.catalogue.calls)
@@ -540,10 +546,10 @@
     from banklift.emulator.platform import Catalogue
 
     site = Site()
-    other = Catalogue(site.world, "10.9.0.2:8500", version=50).start()
-    for name, node in site.nodes.items():
-        other.list(name, node.address, writes=node.primary)
-    other.list("r2", site.nodes["r2"].address, state="DRAINING")
+    other = Catalogue(site.world, "10.9.0.2:8500", revision=50).start()
+    for name, member in site.members.items():
+        other.update(name, member.address, writes=member.primary)
+    other.update("r2", site.members["r2"].address, state="DRAINING")
     site.discovery.change_address(other.address)
     site.run(0.1)
     assert site.machine.members["r2"].state is State.DRAINING
@@ -557,11 +563,11 @@
     site = Site(settings=VANISHED)
     caller = SiteClient(site)
     assert value(caller.query(site.write("k", "01")))
-    site.catalogue.list("p", site.nodes["p"].address, state="DELETED")
+    site.catalogue.update("p", site.members["p"].address, state="DELETED")
     site.run(0.1)
     assert value(caller.query(site.write("k", "02"))) == b"\x02"
-    site.catalogue.list("p", site.nodes["p"].address, state="DRAINING")
-    site.catalogue.list("p", site.nodes["p"].address, state="DELETED")
+    site.catalogue.update("p", site.members["p"].address, state="DRAINING")
+    site.catalogue.update("p", site.members["p"].address, state="DELETED")
     site.run(0.1)
     assert "p" not in site.machine.members and "p" not in site.machine.balancer.members
     site.assert_no_leftovers()
@@ -570,11 +576,11 @@
 def test_a_moved_member_is_replaced_also_if_deleted_members_stay_in_use() -> None:
     site = Site(settings=VANISHED)
     caller = SiteClient(site)
-    moved = PgNode(site.world, "10.0.0.9:6432", True, store=site.nodes["p"].store).start()
-    site.nodes["p"].stop()
-    site.catalogue.list("p", moved.address, writes=True)
+    moved = PgMember(site.world, "10.0.0.9:6432", True, store=site.members["p"].store).start()
+    site.members["p"].stop()
+    site.catalogue.update("p", moved.address, writes=True)
     site.run(0.1)
-    assert value(caller.query(site.write(), 0.5)) and len(moved.seen) == 1
+    assert value(caller.query(site.write(), 0.5)) and len(moved.statements) == 1
     assert len(site.machine.balancer.members) == 3
 
 
@@ -593,7 +599,7 @@
     for cluster in range(70, 76):  # more often than bad statements are accepted
         assert code(caller.query(site.read("any", cluster=cluster))) == "53300"
     assert not caller.closed and set(site.machine.balancer.groups) == {0} and not site.machine.pending
-    site.catalogue.list("n", site.nodes["r1"].address, group=70)
+    site.catalogue.update("n", site.members["r1"].address, group=70)
     site.run(0.1)
     assert value(caller.query(site.read("any", cluster=70), 0.2))
 
@@ -612,7 +618,7 @@
     assert report is not None
     assert (report.position, report.primary, report.in_flight, report.queued) == (17.5, False, 7.0, 3.0)
     site = Site()
-    site.nodes["r1"].open = 9  # requests of other routers
+    site.members["r1"].in_flight = 9  # requests of other routers
     probe(site, "r1")
     assert site.machine.balancer.members["r1"].load == 9.0
 
@@ -621,36 +627,36 @@
     site = Site()
     caller = SiteClient(site)
     assert value(caller.query(site.write()))
-    node = site.nodes["p"]
+    member = site.members["p"]
     for _ in range(5):
         probe(site, "p")
         assert value(caller.query(site.write()))
-    assert node.probes >= 5 and len(node.connections) == 1
+    assert member.probes >= 5 and len(member.connections) == 1
     assert site.machine.members["p"].probe_link is None and not site.machine.members["p"].pending_probes
 
 
 def test_a_member_that_refuses_a_probe_counts_as_alive() -> None:
     site = Site()
-    node, known = site.nodes["r1"], site.machine.members["r1"]
-    node.usage = lambda: frames.error_response("57P03", "asked too often")  # type: ignore[method-assign]
+    member, known = site.members["r1"], site.machine.members["r1"]
+    member.usage_answer = lambda: frames.error_response("57P03", "asked too often")  # type: ignore[method-assign]
     probe(site, "r1")
-    member = site.machine.balancer.members["r1"]
+    router_member = site.machine.balancer.members["r1"]
     assert (
-        member.last_report_at == member.last_heard_at > member.probed_at
-        and site.machine.balancer.is_healthy(member)
+        router_member.last_report_at == router_member.last_heard_at > router_member.probed_at
+        and site.machine.balancer.is_healthy(router_member)
     )
     assert known.probe_link is None and len(known.idle_links[0]) == 1  # the link stays usable for requests
 
 
 def test_an_unanswered_probe_closes_its_link_and_an_attempt_opens_another() -> None:
     site = Site()
-    node, known = site.nodes["p"], site.machine.members["p"]
-    node.usage = lambda: b""  # type: ignore[method-assign]
+    member, known = site.members["p"], site.machine.members["p"]
+    member.usage_answer = lambda: b""  # type: ignore[method-assign]
     probe(site, "p")
     site.run(0.08)
     assert value(SiteClient(site).query(site.write(), 0.2))
     site.run(0.3)
-    assert known.probe_link is None and not known.pending_probes and len(node.connections) == 1
+    assert known.probe_link is None and not known.pending_probes and len(member.connections) == 1
 
 
 # ---- shutdown
@@ -663,7 +669,7 @@
     site.host.drain(site.world.now() + 2.6)
     site.run(0.3)
     assert not idle.closed  # new clients still connect to this router
-    site.nodes["p"].answers.append(lambda node, statement: None)
+    site.members["p"].next_answers.append(lambda member, statement: None)
     caller.send(frames.query(site.write(timeout_ms=5000).encode()), 2.0)
     late = SiteClient(site)
     assert value(late.query(site.read("any")))
@@ -705,7 +711,7 @@
             assert value(usual.query(site.write()))
     site.run(3.0)
     assert not site.front.clients and not any(
-        b"SELECT" in seen for node in site.nodes.values() for seen in node.seen
+        b"SELECT" in seen for member in site.members.values() for seen in member.statements
     )
 
 
@@ -727,7 +733,7 @@
     for caller in callers:
         caller.handle.send(frames.query(site.write("c").encode()))
     site.run(0.13)
-    assert len(site.nodes["p"].seen) == 6
+    assert len(site.members["p"].statements) == 6
     site.run(0.2)
     site.assert_no_leftovers()
 
@@ -743,6 +749,6 @@
     ):
         site.machine.handle(site.world.now(), event)
     site.machine.probe(member)
-    usage = site.nodes["r1"].usage() + frames.READY_FOR_QUERY
+    usage = site.members["r1"].usage_answer() + frames.READY_FOR_QUERY
     site.machine.handle(site.world.now(), ev.LinkData(member.probe_link.id, usage + b"\0noise"))
     assert not member.pending_probes and member.probe_link is None
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -36,9 +36,9 @@
 
 
 def cut_off(site: Site, name: str) -> None:
-    """Make a node close all its connections."""
-    node = site.nodes[name]
-    for peer in list(node.connections):
+    """Make a member close all its connections."""
+    member = site.members[name]
+    for peer in list(member.connections):
         assert peer.handle is not None
         peer.lost("closed here")
         peer.handle.close()
@@ -56,17 +56,17 @@
         member = site.machine.balancer.members[name]
         member.position = site.world.now() - 0.7  # 0.1 s short of the bound
         cut_off(site, name)
-        site.world.late[site.nodes[name].address] = 0.2
+        site.world.connect_delays[site.members[name].address] = 0.2
     site.run(0.005)
     site.machine.balancer.members["p"].load = 1e6  # so the balancer chooses a replica
-    seen = {name: len(node.seen) for name, node in site.nodes.items()}
+    seen = {name: len(member.statements) for name, member in site.members.items()}
     caller.send(frames.query(site.read("view", "k").encode()), 0.01)
     assert len(site.machine.in_flight) == 1
     site.machine.balancer.members["p"].load = 0.0  # so the primary may serve it later
     site.run(0.3)
     for name in ("r1", "r2"):
-        assert len(site.nodes[name].seen) == seen[name]
-    assert len(site.nodes["p"].seen) == seen["p"] + 1 and value(caller.received_messages())
+        assert len(site.members[name].statements) == seen[name]
+    assert len(site.members["p"].statements) == seen["p"] + 1 and value(caller.received_messages())
     site.assert_no_leftovers()
 
 
@@ -77,12 +77,12 @@
     for name in ("r1", "r2"):
         site.machine.balancer.members[name].position = site.world.now() - 0.4
         cut_off(site, name)
-        site.world.late[site.nodes[name].address] = 0.2
+        site.world.connect_delays[site.members[name].address] = 0.2
     site.run(0.005)
     site.machine.balancer.members["p"].load = 1e6
-    seen = len(site.nodes["p"].seen)
+    seen = len(site.members["p"].statements)
     caller.send(frames.query(site.read("view", "k").encode()), 0.3)
-    assert len(site.nodes["p"].seen) == seen and value(caller.received_messages())
+    assert len(site.members["p"].statements) == seen and value(caller.received_messages())
     site.assert_no_leftovers()
 
 
@@ -94,16 +94,16 @@
     site = Site(settings=with_service(3, semantics="dedup", window_s=window, balancers=20))
     caller = SiteClient(site)
     assert value(caller.query(site.write("k", "01")))
-    node, address = site.nodes["p"], site.nodes["p"].address
-    before = len(node.seen)
+    member, address = site.members["p"], site.members["p"].address
+    before = len(member.statements)
 
-    def breaks(node: Any, statement: bytes) -> None:
-        site.world.late[address] = 0.22
+    def breaks(member: Any, statement: bytes) -> None:
+        site.world.connect_delays[address] = 0.22
         site.run_later(0.1, lambda: cut_off(site, "p"))
 
-    node.answers.append(breaks)
+    member.next_answers.append(breaks)
     caller.send(frames.query(site.write("k", "02").encode()), 1.9)
-    assert len(node.seen) == before + runs
+    assert len(member.statements) == before + runs
     told = caller.received_messages()
     if runs == 1:  # a repeat by the client could run a second time, too
         assert code(told) == "40003"
@@ -116,8 +116,8 @@
     caller = SiteClient(site)
     assert value(caller.query(site.write("k", "01")))
     for _ in range(8):
-        site.nodes["p"].answers.append(
-            lambda node, statement: frames.error_response("XX000", "broken") + frames.READY_FOR_QUERY
+        site.members["p"].next_answers.append(
+            lambda member, statement: frames.error_response("XX000", "broken") + frames.READY_FOR_QUERY
         )
     assert code(caller.query(site.write("k", "02"), 2.0)) == "40003"
 
@@ -129,13 +129,13 @@
     assert value(other.query(site.write("k", "01")))
     cut_off(site, "p")
     site.run(0.005)
-    site.world.late[site.nodes["p"].address] = 0.2
-    before = len(site.nodes["p"].seen)
+    site.world.connect_delays[site.members["p"].address] = 0.2
+    before = len(site.members["p"].statements)
     caller.send(frames.query(site.write("k", "02").encode()), 0.01)
     assert len(site.machine.in_flight) == 1
     caller.handle.close()
     site.run(1.0)
-    assert len(site.nodes["p"].seen) == before
+    assert len(site.members["p"].statements) == before
     site.assert_no_leftovers()
 
 
@@ -145,14 +145,14 @@
     assert value(caller.query(site.write("k", "01")))
     cut_off(site, "p")
     site.run(0.005)
-    site.world.late[site.nodes["p"].address] = math.inf
+    site.world.connect_delays[site.members["p"].address] = math.inf
     caller.send(frames.query(site.write("k", "02").encode()), 0.1)
     opening = [link for link in site.machine.links.values() if not link.up]
     assert opening
     site.run(2.0 + site.start.connect_timeout + LATE_CONNECT_GRACE)
     assert not any(link.id in site.machine.links for link in opening)
     assert not site.machine.members["p"].connecting and not site.machine.awaiting_link
-    site.world.late.clear()
+    site.world.connect_delays.clear()
     assert code(caller.received_messages()) == "53300"
     assert value(SiteClient(site).query(site.write("k", "03"), 0.5)) == b"\x03"
     site.assert_no_leftovers()
@@ -164,16 +164,16 @@
     caller = SiteClient(site)
     assert value(caller.query(site.write("k", "01")))
     assert value(caller.query(site.read("any", "k")))
-    seen = {name: len(node.seen) for name, node in site.nodes.items()}
+    seen = {name: len(member.statements) for name, member in site.members.items()}
     text = site.write("k", "02") if kind == "save" else site.read("any", "k")
     caller.handle.send(frames.query(text.encode()))
     while not site.machine.in_flight:
         site.run(0.00001)
     (attempt,) = site.machine.in_flight.values()
-    assert attempt.link is not None  # written, but not yet at the node
+    assert attempt.link is not None  # written, but not yet at the member
     cut_off(site, attempt.member.name)
     site.run(0.1)
-    assert len(site.nodes[attempt.member.name].seen) == seen[attempt.member.name]
+    assert len(site.members[attempt.member.name].statements) == seen[attempt.member.name]
     told = caller.received_messages()
     if kind == "save":
         assert code(told) == "40003"  # the router can't tell that it has not run
@@ -202,9 +202,9 @@
     assert value(caller.query(site.write("k", "01")))
     cut_off(site, "p")
     site.run(0.005)
-    address = site.nodes["p"].address
-    site.world.late[address] = 1.5
-    site.run_later(0.1, site.world.late.clear)  # the next connection is not delayed
+    address = site.members["p"].address
+    site.world.connect_delays[address] = 1.5
+    site.run_later(0.1, site.world.connect_delays.clear)  # the next connection is not delayed
     caller.send(frames.query(site.write("k", "02").encode()), 0.8)
     assert value(caller.received_messages()) == b"\x02"
     site.run(1.0)  # the late connection is established by now, and usable
@@ -218,14 +218,14 @@
     site = Site(settings=NO_PROBES)
     caller = SiteClient(site)
     assert value(caller.query(site.write("k", "01")))
-    for node in site.nodes.values():
-        node.answers.append(lambda node, statement: None)
+    for member in site.members.values():
+        member.next_answers.append(lambda member, statement: None)
     caller.send(
         frames.query((site.write("k", "02") if kind == "save" else site.read("any", "k")).encode()), 0.05
     )
     (attempt,) = site.machine.in_flight.values()
-    for node in site.nodes.values():
-        node.answers.clear()
+    for member in site.members.values():
+        member.next_answers.clear()
     site.run(0.25 if kind == "any" else 1.2)
     assert caller.received_messages() == []
     cut_off(site, attempt.member.name)
@@ -246,7 +246,7 @@
     if moment == "waiting":
         cut_off(site, "p")
         site.run(0.005)
-        site.world.late[site.nodes["p"].address] = 0.1
+        site.world.connect_delays[site.members["p"].address] = 0.1
     caller = SiteClient(site, start=False)
     while len(site.front.clients) < 2:
         site.run(0.00001)
@@ -257,7 +257,7 @@
     site.service.handle_signal(signal.SIGTERM, site.world.now())
     site.run(0.5)
     assert [kind for kind, _ in caller.received_messages()][-4:] == ["T", "D", "C", "Z"]
-    assert site.nodes["p"].store[b"k"] == b"\x02"
+    assert site.members["p"].store[b"k"] == b"\x02"
     site.assert_no_leftovers()
 
 
@@ -269,11 +269,11 @@
     site = Site()
     caller = SiteClient(site)
     assert value(caller.query(site.write("k", "01")))
-    for name, node in site.nodes.items():
+    for name, member in site.members.items():
         cut_off(site, name)
-        site.world.late[node.address] = 0.2
+        site.world.connect_delays[member.address] = 0.2
     site.run(0.005)
-    before = sum(len(node.seen) for node in site.nodes.values())
+    before = sum(len(member.statements) for member in site.members.values())
     caller.send(b"".join(frames.query(site.write(f"k{place}").encode()) for place in range(40)), 0.01)
     (state,) = site.front.clients.values()
     assert state.paused and len(site.machine.pending) == 16
@@ -281,7 +281,7 @@
     site.run(0.01)
     assert not site.machine.pending and not site.front.clients
     site.run(1.0)
-    assert sum(len(node.seen) for node in site.nodes.values()) == before
+    assert sum(len(member.statements) for member in site.members.values()) == before
     site.assert_no_leftovers()
 
 
@@ -304,7 +304,7 @@
     kept = [part for part in parts[1:-1] if not part.startswith(missing)]
     told = SiteClient(site).query(f"{parts[0]}{','.join(kept)}{parts[-1]}")
     assert code(told) == "22023" and f"lacks {missing[:-1]}".encode() in told[0][1]
-    assert not any(node.seen for node in site.nodes.values())
+    assert not any(member.statements for member in site.members.values())
 
 
 @pytest.mark.parametrize("name", ["v1/look", "look+all", "a=b", "Look:me.now_", "100%", "ein(e)"])
@@ -407,7 +407,7 @@
 def test_where_lists_are_pushed_the_watch_is_open_from_the_start_and_its_changes_hold() -> None:
     site = Site(settings=pushed_settings())
     assert site.catalogue.calls == ["/catalog/members?after=4&wait_ms=4000"]
-    site.catalogue.list("r1", site.nodes["r1"].address, state="DRAINING")
+    site.catalogue.update("r1", site.members["r1"].address, state="DRAINING")
     site.run(0.05)
     assert is_draining(site)
 
@@ -417,13 +417,13 @@
     site = Site(settings=pushed_settings())
     assert site.catalogue.listener is not None
     site.catalogue.listener.close()
-    for peer, _ in site.catalogue.waiting:
+    for peer, _ in site.catalogue.long_polls:
         assert peer.handle is not None
         peer.handle.close()
     site.run(20.0)
     asked = len(site.catalogue.calls)
     site.catalogue.start()
-    site.catalogue.list("r1", site.nodes["r1"].address, state="DRAINING")
+    site.catalogue.update("r1", site.members["r1"].address, state="DRAINING")
     site.run(0.55)
     assert len(site.catalogue.calls) > asked and is_draining(site)
     failures = [fields for event, fields in site.notes if event == "discovery failed"]
@@ -432,8 +432,8 @@
 
 def test_a_sighup_with_the_same_address_opens_a_watch_anew_that_has_fallen_silent() -> None:
     site = Site()
-    site.catalogue.waiting.clear()  # the pending call is never answered
-    site.catalogue.list("r1", site.nodes["r1"].address, state="DRAINING")
+    site.catalogue.long_polls.clear()  # the pending call is never answered
+    site.catalogue.update("r1", site.members["r1"].address, state="DRAINING")
     site.run(0.5)
     assert not is_draining(site)
     site.service.discovery.change_address(site.catalogue.address)
@@ -447,8 +447,8 @@
         "rules": {**SETTINGS["rules"], "ask_within_s": 120.0},
     }  # a long bound, of which the retry's pause is a part
     site = Site(settings=settings)
-    site.catalogue.waiting.clear()
-    site.catalogue.list("r1", site.nodes["r1"].address, state="DRAINING")
+    site.catalogue.long_polls.clear()
+    site.catalogue.update("r1", site.members["r1"].address, state="DRAINING")
     site.run(5.9)
     assert is_draining(site)
 
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -22,7 +22,7 @@
 import pytest
 
 from banklift import Balancer, Entry, Listing, ListKind, SetTimer, State
-from banklift.emulator.platform import PgNode
+from banklift.emulator.platform import PgMember
 from banklift.emulator.world import World
 from banklift.net.env import Handle, Peer
 from banklift.net.sockets import MAX_SOCKETS_PER_BATCH, SocketEnv
@@ -77,15 +77,15 @@
 def never_connect(site: Site) -> Callable[[], object]:
     """Let connections to discovery hang; those of the outage also hang after it."""
     reset_watches(site)
-    site.world.late[site.catalogue.address] = math.inf
-    return site.world.late.clear
+    site.world.connect_delays[site.catalogue.address] = math.inf
+    return site.world.connect_delays.clear
 
 
 def never_answer(site: Site) -> Callable[[], object]:
     """Let discovery accept calls and answer none; those of the outage stay unanswered after it."""
     assert site.catalogue.listener is not None
     site.catalogue.listener.close()
-    site.catalogue.waiting.clear()
+    site.catalogue.long_polls.clear()
     silent_listener = site.world.listen(site.catalogue.address, SilentPeer)
 
     def end_outage() -> None:
@@ -97,7 +97,7 @@
 
 def reset_watches(site: Site) -> None:
     """Break the connections of all watches that are open."""
-    for peer, _ in site.catalogue.waiting:
+    for peer, _ in site.catalogue.long_polls:
         assert peer.handle is not None
         peer.handle.close()
 
@@ -112,7 +112,7 @@
     site = Site(settings={**SETTINGS, "rules": {**SETTINGS["rules"], "ask_within_s": ask_within}})
     end_outage = start_outage(site)
     site.run(outage)
-    site.catalogue.list("r1", site.nodes["r1"].address, state="DRAINING")
+    site.catalogue.update("r1", site.members["r1"].address, state="DRAINING")
     assert not is_draining(site)
     end_outage()
     site.run(KNOWN_AFTER_SECONDS - 0.05)
@@ -130,7 +130,7 @@
     site = Site(settings={**settings, "rules": {**settings["rules"], "drain_grace_s": drain_grace}})
     end_outage = start_outage(site)
     site.run(outage)
-    site.catalogue.list("r1", site.nodes["r1"].address, state="DRAINING")
+    site.catalogue.update("r1", site.members["r1"].address, state="DRAINING")
     assert not is_draining(site)
     end_outage()
     site.run(KNOWN_AFTER_SECONDS - 0.05)
@@ -162,7 +162,7 @@
 
 def statements(site: Site) -> int:
     """The number of statements that all members have received."""
-    return sum(len(node.seen) for node in site.nodes.values())
+    return sum(len(member.statements) for member in site.members.values())
 
 
 @LEAVING
@@ -170,9 +170,9 @@
     """Writes are held while no primary is known. The write of a client that stays shows that they are sent later."""
     site = Site()
     leaving, staying = SiteClient(site), SiteClient(site)
-    for node in site.nodes.values():
-        node.primary = False
-    site.catalogue.list("p", site.nodes["p"].address, state="DRAINING")
+    for member in site.members.values():
+        member.primary = False
+    site.catalogue.update("p", site.members["p"].address, state="DRAINING")
     site.run(0.05)
     for caller, key in ((leaving, "leaving"), (staying, "staying")):
         caller.send(frames.query(site.write(key, "01").encode()), 0.0)
@@ -182,11 +182,11 @@
     leave(leaving)
     site.run(0.05)
     assert len(site.machine.pending) == 1
-    new_primary = site.nodes["n"] = PgNode(site.world, "10.0.0.9:6432", primary=True).start()
-    site.catalogue.list("n", new_primary.address, writes=True)
+    new_primary = site.members["n"] = PgMember(site.world, "10.0.0.9:6432", primary=True).start()
+    site.catalogue.update("n", new_primary.address, writes=True)
     site.run(0.5)
     assert statements(site) == before + 1
-    assert [b"'staying'" in text for text in new_primary.seen] == [True] and value(
+    assert [b"'staying'" in text for text in new_primary.statements] == [True] and value(
         staying.received_messages()
     ) == b"\x01"
     site.assert_no_leftovers()
@@ -206,9 +206,9 @@
         delay=0.1,
     )
     caller = SiteClient(site)
-    for node in site.nodes.values():
-        node.answers.append(
-            lambda node, statement: frames.error_response("XX000", "broken") + frames.READY_FOR_QUERY
+    for member in site.members.values():
+        member.next_answers.append(
+            lambda member, statement: frames.error_response("XX000", "broken") + frames.READY_FOR_QUERY
         )
     caller.send(frames.query(site.read("any", "k").encode()), 0.05)
     assert statements(site) == 1 and len(site.machine.in_flight) == 1
@@ -232,10 +232,10 @@
         for number, caller in enumerate(callers):
             caller.handle.send(frames.query(site.write(f"k{number}", "01").encode()))
 
-    site.nodes["p"].delay = 0.02
+    site.members["p"].answer_delay_seconds = 0.02
     all_send()
     site.run(1.0)  # opens links that held requests could use at once
-    site.nodes["p"].delay = 5.0
+    site.members["p"].answer_delay_seconds = 5.0
     balancer = site.machine.balancer
     # a few requests in flight count as many
     balancer.members["p"].answer_rate, balancer.pace_latency = 0.0, 0.01 * balancer.pace_load
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -23,7 +23,7 @@
 import psycopg
 import pytest
 
-from banklift.emulator.platform import Catalogue, PgNode
+from banklift.emulator.platform import Catalogue, PgMember
 from banklift.net.sockets import SocketEnv
 from tests.platform_site import SETTINGS
 
@@ -54,7 +54,7 @@
             "discovery": self.catalogue.address,
             "seed": "8c1f",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
-            "known": self.catalogue.whole(),
+            "known": self.catalogue.snapshot(),
             "settings": LONG_DEADLINE_SETTINGS,
         }
         self.process: subprocess.Popen[str] | None = None
@@ -64,11 +64,11 @@
         async with anyio.create_task_group() as tasks, anyio.from_thread.BlockingPortal() as self.portal:
             env = self.env = SocketEnv(tasks, time.time)
             store: dict[bytes, bytes] = {}
-            self.members = [PgNode(env, primary=index == 0, store=store).start() for index in range(3)]
+            self.members = [PgMember(env, primary=index == 0, store=store).start() for index in range(3)]
             self.catalogue, self.other_catalogue = Catalogue(env).start(), Catalogue(env).start()
             for catalogue in (self.catalogue, self.other_catalogue):
                 for index, member in enumerate(self.members):
-                    catalogue.list(f"s{index}", member.address, writes=member.primary)
+                    catalogue.update(f"s{index}", member.address, writes=member.primary)
             self.other_catalogue.on_call = self.other_called.set
             self.ready.set()
             await self.stopping.wait()
--- a/tools/two_builds.py
+++ b/tools/two_builds.py
@@ -44,7 +44,7 @@
 import anyio
 import anyio.from_thread
 
-from banklift.emulator.platform import Catalogue, PgNode
+from banklift.emulator.platform import Catalogue, PgMember
 from banklift.net.sockets import SocketEnv
 from banklift.pg import frames
 
@@ -455,10 +455,10 @@
         async with anyio.create_task_group() as tasks, anyio.from_thread.BlockingPortal() as self.portal:
             env = SocketEnv(tasks, time.time)
             store: dict[bytes, bytes] = {}
-            nodes = [PgNode(env, primary=place == 0, store=store).start() for place in range(3)]
+            members = [PgMember(env, primary=place == 0, store=store).start() for place in range(3)]
             self.catalogue = Catalogue(env).start()
-            for place, node in enumerate(nodes):
-                self.catalogue.list(f"s{place}", node.address, writes=node.primary)
+            for place, member in enumerate(members):
+                self.catalogue.update(f"s{place}", member.address, writes=member.primary)
             self.ready.set()
             await self.stopping.wait()
             tasks.cancel_scope.cancel()
@@ -550,7 +550,7 @@
             "discovery": platform.catalogue.address,
             "seed": "8c1f",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
-            "known": platform.catalogue.whole(),
+            "known": platform.catalogue.snapshot(),
             "settings": SETTINGS,
         }
         path = Path(folder) / "config.json"
