--- a/banklift/cli/fleet.py
+++ b/banklift/cli/fleet.py
@@ -13,7 +13,7 @@
 
 from banklift.cli import fleet_tables
 from banklift.cli.fleet_client import (
-    SHOW_TIMEOUT_S,
+    SHOW_TIMEOUT_SECONDS,
     AsJson,
     ConfigFile,
     load_fleet,
@@ -42,6 +42,6 @@
 
 
 def request_from_aggregators(table: Fleet) -> dict[str, Shown | NoAnswer]:
-    """Request the state of every aggregator; those that do not answer within `SHOW_TIMEOUT_S` map to `NoAnswer`."""
+    """Request the state of every aggregator; `NoAnswer` for those silent for `SHOW_TIMEOUT_SECONDS`."""
     addresses = {name: aggregator.address for name, aggregator in table.aggregators.items()}
-    return anyio.run(show_each, addresses, table.name, SHOW_TIMEOUT_S)
+    return anyio.run(show_each, addresses, table.name, SHOW_TIMEOUT_SECONDS)
--- a/banklift/cli/fleet_client.py
+++ b/banklift/cli/fleet_client.py
@@ -21,7 +21,7 @@
 UNKNOWN = 3  # no voter answered in time, so the outcome is not known
 NOT_PROPOSED = 4  # no voter proposed the change, for example because another one is under way
 
-SHOW_TIMEOUT_S = 5.0  # time limit of a read-only request
+SHOW_TIMEOUT_SECONDS = 5.0  # time limit of a read-only request
 ConfigFile = Annotated[
     Path,
     typer.Option("--config", help="The file of any router or aggregator of this fleet.", show_default=False),
@@ -46,10 +46,10 @@
 def request_state(fleet: Fleet) -> Shown:
     """Return the state of the fleet as the first voter that answers knows it.
 
-    Errors: `typer.Exit` with `UNKNOWN` if no voter answers within `SHOW_TIMEOUT_S`.
+    Errors: `typer.Exit` with `UNKNOWN` if no voter answers within `SHOW_TIMEOUT_SECONDS`.
     """
     try:
-        answer = anyio.run(ask_voters, fleet.voters, fleet.name, Show(), SHOW_TIMEOUT_S)
+        answer = anyio.run(ask_voters, fleet.voters, fleet.name, Show(), SHOW_TIMEOUT_SECONDS)
     except Unreachable as error:
         typer.echo(f"no voter answers: {error}", err=True)
         raise typer.Exit(UNKNOWN) from None
--- a/banklift/cli/policy.py
+++ b/banklift/cli/policy.py
@@ -35,7 +35,8 @@
 from banklift.proxy.fleet_plan import Fleet
 
 CHECK_TIMEOUT_LEASES = 2  # default time that routers have to check a change, in lease durations
-PROPOSAL_MARGIN_S = 5.0  # added to the check timeout and one lease when waiting for the outcome of a change
+# added to the check timeout and one lease when waiting for the outcome of a change
+PROPOSAL_MARGIN_SECONDS = 5.0
 CHANGE_ID_BYTES = 6  # random bytes in a change id
 app = typer.Typer(no_args_is_help=True, help="Show, check and change the policy of a fleet.")
 Wait = Annotated[
@@ -81,7 +82,7 @@
     """Have routers check a change and, unless it is a dry run, put it in force. Returns the exit code."""
     console = Console(stderr=True)
     console.print(f"change {change.change}, policy {digest(change.policy)}", highlight=False)
-    timeout_s = change.patience + fleet.lease + PROPOSAL_MARGIN_S
+    timeout_s = change.patience + fleet.lease + PROPOSAL_MARGIN_SECONDS
     try:
         answer = anyio.run(ask_voters, fleet.voters, fleet.name, change, timeout_s, ProgressPrinter(console))
     except Unreachable as error:
--- a/banklift/fleet/aggregator.py
+++ b/banklift/fleet/aggregator.py
@@ -31,7 +31,7 @@
 | --- | --- | --- | --- |
 | none | a grant tells of a change | checking | routers with a sub-lease are told to renew |
 | checking | all routers have accepted, or hold no sub-lease any more | sealed | every voter is told |
-| checking | one refused; all others answered, or `REFUSAL_GRACE_S` passed | refused | every voter is told the reasons |
+| checking | one refused; all others answered, or `REFUSAL_GRACE_SECONDS` passed | refused | voters get the reasons |
 | sealed | the voters grant short leases | closing | routers are told to renew, and get short sub-leases |
 | closing | all sub-leases end within the newest windows | closed | every voter is told that older grants are dropped |
 | closed | a majority has told when the next epoch begins | switching | routers are told to renew |
@@ -51,9 +51,9 @@
 from banklift.fleet.state import Stage
 from banklift.fleet.sub_lease_table import SubLeaseTable, Terms, build_grant
 
-REFUSAL_GRACE_S = 0.3  # seconds after the first refusal in which other routers may still answer
-REPORT_INTERVAL_S = 0.5  # seconds between reports to the voters while routers have not answered
-SUMMARY_MAX_AGE_S = 0.1  # seconds for which the counts for the voters are reused
+REFUSAL_GRACE_SECONDS = 0.3  # seconds after the first refusal in which other routers may still answer
+REPORT_INTERVAL_SECONDS = 0.5  # seconds between reports to the voters while routers have not answered
+SUMMARY_MAX_AGE_SECONDS = 0.1  # seconds for which the counts for the voters are reused
 
 
 @dataclass(frozen=True, slots=True)
@@ -158,7 +158,7 @@
             ends = (self.table.unanswered.latest(), self.table.refusing.latest())
             times += [end for end in ends if end > now]
             if self.table.checking:  # once the change is agreed, no refusal is reported any more
-                times.append(self.first_refusal_at + REFUSAL_GRACE_S)
+                times.append(self.first_refusal_at + REFUSAL_GRACE_SECONDS)
             times.append(self.next_report_at)
         if self.waits_for_renewals:
             times += [
@@ -190,7 +190,7 @@
             self.parent.verdict = ()
         if view.change and view.change != previous_view.change:
             self.first_refusal_at = math.inf
-            self.next_report_at = now + REPORT_INTERVAL_S
+            self.next_report_at = now + REPORT_INTERVAL_SECONDS
             self.actions.append(AnnounceRenewal(check=True))
 
     def _report_verdict_if_known(self, now: float) -> None:
@@ -200,7 +200,7 @@
         is_refused = bool(self.table.refusing) and self.table.checking
         if is_refused and self.parent.verdict is None:
             self.first_refusal_at = min(self.first_refusal_at, now)
-            if self.table.unanswered.latest() <= now or now >= self.first_refusal_at + REFUSAL_GRACE_S:
+            if self.table.unanswered.latest() <= now or now >= self.first_refusal_at + REFUSAL_GRACE_SECONDS:
                 self._report_verdict(now, self._refusal_reasons(now))
         elif is_refused and self.parent.verdict == ():
             # A router that refuses has come after all others had accepted.
@@ -208,7 +208,7 @@
         elif self.parent.verdict is None and self.table.seal(now):
             self._report_verdict(now, ())
         if self.parent.verdict is None and now >= self.next_report_at:
-            self.next_report_at = now + REPORT_INTERVAL_S
+            self.next_report_at = now + REPORT_INTERVAL_SECONDS
             self.actions += self.parent.request_all(now)
 
     def _refusal_reasons(self, now: float) -> tuple[str, ...]:
@@ -257,8 +257,8 @@
         self.had_lease = has_lease
 
     def _summary(self, now: float) -> Summary:
-        """Counts of routers for the voters, made again if they are older than `SUMMARY_MAX_AGE_S`."""
-        if now - self.summary_at >= SUMMARY_MAX_AGE_S:
+        """Counts of routers for the voters, made again if they are older than `SUMMARY_MAX_AGE_SECONDS`."""
+        if now - self.summary_at >= SUMMARY_MAX_AGE_SECONDS:
             self.summary = self.table.summary(now)
             self.summary_at = now
         return self.summary
--- a/banklift/fleet/holder.py
+++ b/banklift/fleet/holder.py
@@ -50,7 +50,7 @@
 STALL_TIME_FRACTION = 1 / 4
 # Shortest time after which a link counts as stalled: where thousands of holders send requests at one moment, an
 # answer may take as long.
-MIN_STALL_TIME_S = 1.0
+MIN_STALL_TIME_SECONDS = 1.0
 # Longest time after which a link counts as stalled, as a fraction of a lease: a renewal sent after
 # RENEWAL_FRACTION that gets no answer leaves time for another grantor to answer.
 MAX_STALL_TIME_FRACTION = 0.4
@@ -166,7 +166,7 @@
         self.drift = drift
         self.random = random
         self.stall_time = min(
-            max(STALL_TIME_FRACTION * lease, MIN_STALL_TIME_S), MAX_STALL_TIME_FRACTION * lease
+            max(STALL_TIME_FRACTION * lease, MIN_STALL_TIME_SECONDS), MAX_STALL_TIME_FRACTION * lease
         )
         self.last_number = 0  # number of the last request, to whichever grantor
         self.actions: list[Action] = []
--- a/banklift/fleet/holder_table.py
+++ b/banklift/fleet/holder_table.py
@@ -23,7 +23,8 @@
 from banklift.fleet.end_index import EndIndex
 from banklift.fleet.messages import Holder, LeaseRelease, LeaseRequest, Summary
 
-FORGET_AFTER_S = 3600.0  # seconds since its last request after which a holder without a lease may be removed
+# seconds since its last request after which a holder without a lease may be removed
+FORGET_AFTER_SECONDS = 3600.0
 MAX_HOLDERS = 16_384  # incarnations of holders in the table
 MAX_NAMED_HOLDERS = 8  # holders that are named when a change waits for them
 MAX_EXAMINED_HOLDERS = 64  # holders that are looked at to find those to name
@@ -225,11 +226,12 @@
 
     def _make_room(self, now: float) -> None:
         """Remove entries without a lease, beginning with the one heard longest ago: those that were not heard for
-        `FORGET_AFTER_S`, and more if the table is full. An entry with a lease is never removed and ends the search."""
+        `FORGET_AFTER_SECONDS`, and more if the table is full. An entry with a lease is never removed and ends the
+        search."""
         while self.entries:
             key, entry = next(iter(self.entries.items()))
             is_full = len(self.entries) >= MAX_HOLDERS
-            if entry.last_end() > now or (now - entry.last_heard <= FORGET_AFTER_S and not is_full):
+            if entry.last_end() > now or (now - entry.last_heard <= FORGET_AFTER_SECONDS and not is_full):
                 return
             del self.entries[key]
             for index in (self.lease_ends, self.unanswered, self.refusing):
--- a/banklift/fleet/lease_table.py
+++ b/banklift/fleet/lease_table.py
@@ -52,7 +52,7 @@
 # Length of a short lease as a fraction of a lease. A change takes at least this long.
 CLOSING_LEASE_FRACTION = 0.1
 # Shortest length of a short lease.
-MIN_CLOSING_LEASE_S = 0.5
+MIN_CLOSING_LEASE_SECONDS = 0.5
 # Shortest length of a short lease in answer times of the holders: with shorter ones they renew too late.
 CLOSING_LEASE_ANSWER_TIMES = 2.0
 # Longest length of a short lease as a fraction of a lease; limits both minimums above.
@@ -68,7 +68,9 @@
     `lease`: seconds that a lease lasts while no change is under way. `answer_time`: seconds in which half of the
     holders answered the check of the change; they will again all renew at one moment.
     """
-    least = max(CLOSING_LEASE_FRACTION * lease, MIN_CLOSING_LEASE_S, CLOSING_LEASE_ANSWER_TIMES * answer_time)
+    least = max(
+        CLOSING_LEASE_FRACTION * lease, MIN_CLOSING_LEASE_SECONDS, CLOSING_LEASE_ANSWER_TIMES * answer_time
+    )
     return max(CLOSING_LEASE_FRACTION * lease, min(least, MAX_CLOSING_LEASE_FRACTION * lease))
 
 
--- a/banklift/judge/day.py
+++ b/banklift/judge/day.py
@@ -34,14 +34,15 @@
 from banklift.resp.replies import status_from_reply
 
 DAYS_FOLDER = Path(__file__).with_name("days")
-ROSTER_READ_S = 0.5  # longest time until a router has read a new roster file
-POLL_INTERVAL_S = 0.05  # between checks of the primaries, and between checks whether a day on sockets is over
+ROSTER_READ_SECONDS = 0.5  # longest time until a router has read a new roster file
+# between checks of the primaries, and between checks whether a day on sockets is over
+POLL_INTERVAL_SECONDS = 0.05
 HEAVY_TAIL_SHARE = 0.03  # share of requests that the order "tail" makes slow
 # largest difference between the times that both ends of a connection record for one event
-SOCKET_SKEW_S = 0.15  # on sockets of a busy machine
-VIRTUAL_SKEW_S = 0.005  # in virtual time: a few times the latency of a connection
-HANDOVER_TIMEOUT_S = 2.0  # time that a hand-over waits until the replica has the whole log
-HANDOVER_POLL_S = 0.005
+SOCKET_SKEW_SECONDS = 0.15  # on sockets of a busy machine
+VIRTUAL_SKEW_SECONDS = 0.005  # in virtual time: a few times the latency of a connection
+HANDOVER_TIMEOUT_SECONDS = 2.0  # time that a hand-over waits until the replica has the whole log
+HANDOVER_POLL_SECONDS = 0.005
 
 
 class RequestSpec(Strict, kw_only=True, frozen=True):
@@ -549,7 +550,7 @@
                     now + self.day.election.takes,
                     lambda group=group, primary=primary: self._finish_election(group, primary),  # type: ignore[misc]
                 )
-        self.env.at(now + POLL_INTERVAL_S, self._check_primaries)
+        self.env.at(now + POLL_INTERVAL_SECONDS, self._check_primaries)
 
     def _finish_election(self, group: Group, old_primary: str) -> None:
         """Promote the replica with the most of the log, unless the old primary is back or was replaced."""
@@ -589,7 +590,7 @@
     def _hand_over_primary(self, name: str) -> None:
         """Replace a primary that drains: it accepts no more writes, and the replica takes over once it has the log.
 
-        After `HANDOVER_TIMEOUT_S` the replica takes over with what it has.
+        After `HANDOVER_TIMEOUT_SECONDS` the replica takes over with what it has.
         """
         group, old_primary = self._group_of(name), self.stand.hosts[name]
         candidates = self._promotion_candidates(group, name)
@@ -597,11 +598,11 @@
             return
         old_primary.member.refuses_writes = True
         new_primary = max(candidates, key=lambda host: host.member.offset)
-        deadline = self.env.now() + HANDOVER_TIMEOUT_S
+        deadline = self.env.now() + HANDOVER_TIMEOUT_SECONDS
 
         def check_progress() -> None:
             if new_primary.member.offset < old_primary.member.offset and self.env.now() < deadline:
-                self.env.at(self.env.now() + HANDOVER_POLL_S, check_progress)
+                self.env.at(self.env.now() + HANDOVER_POLL_SECONDS, check_progress)
                 return
             self._promote(group, new_primary)
             old_primary.member.refuses_writes = False
@@ -632,7 +633,7 @@
         groups={member.name: group.name for group in config.groups for member in group.members},
         sources=[router_source_address(number) for number in range(routers)],
         drain_grace=rules.drain_grace,
-        told_within=ROSTER_READ_S,
+        told_within=ROSTER_READ_SECONDS,
         cold_share=rules.cold_share,
         cold_time=rules.cold_time,
         fall_multiple=rules.fall_multiple,
@@ -655,7 +656,7 @@
     """
     async with anyio.create_task_group() as tasks:
         env = SocketEnv(tasks)
-        record = Writer(trace, make_head(day, config, routers, seed, env.now(), SOCKET_SKEW_S))
+        record = Writer(trace, make_head(day, config, routers, seed, env.now(), SOCKET_SKEW_SECONDS))
         runner = DayRunner(env, day, config, routers, seed, record, progress)
         processes = RouterProcesses(runner.stand, tasks, time.monotonic() - time.time())
         processes.addresses = ["127.0.0.1:0"] * routers
@@ -669,7 +670,7 @@
                     starting.start_soon(start, number)
             runner.start(processes)
             while not runner.is_finished:
-                await anyio.sleep(POLL_INTERVAL_S)
+                await anyio.sleep(POLL_INTERVAL_SECONDS)
             runner.finish()
         finally:
             with anyio.CancelScope(shield=True):
@@ -701,4 +702,4 @@
         world.run(until)
         until += 0.5
     runner.finish()
-    return make_head(day, config, routers, seed, begin, VIRTUAL_SKEW_S)
+    return make_head(day, config, routers, seed, begin, VIRTUAL_SKEW_SECONDS)
--- a/banklift/judge/load.py
+++ b/banklift/judge/load.py
@@ -14,9 +14,9 @@
 from banklift.resp.frames import ProtocolError, Scanner, command, decode
 
 MAX_BATCH_REQUESTS = 6
-TIMEOUT_MARGIN_S = 0.1  # time beyond the class's deadline that a client waits unless it leaves early
-UNREACHABLE_RETRY_S = 0.1  # base delay of a retry where no router accepted the connection
-BROKEN_RETRY_S = 0.2  # base delay of a retry where the connection broke
+TIMEOUT_MARGIN_SECONDS = 0.1  # time beyond the class's deadline that a client waits unless it leaves early
+UNREACHABLE_RETRY_SECONDS = 0.1  # base delay of a retry where no router accepted the connection
+BROKEN_RETRY_SECONDS = 0.2  # base delay of a retry where the connection broke
 REFUSED_PREFIX = b"-TRYAGAIN refused: nothing ran"
 REPEATABLE_PREFIX = b"-TRYAGAIN refused: it may have run"
 
@@ -159,7 +159,7 @@
             else session.home_router
         )
         longest_deadline = max(self.deadlines[request.template.class_name] for request in requests)
-        patience = longest_deadline + TIMEOUT_MARGIN_S
+        patience = longest_deadline + TIMEOUT_MARGIN_SECONDS
         if random.random() < behaviour.leaving_share:
             patience = self.deadlines[requests[0].template.class_name] * random.uniform(0.42, 1.0)
         idle = session.idle_connections.get(router, [])
@@ -361,7 +361,7 @@
 
     def lost(self, reason: str) -> None:
         if not self.is_closed:
-            self._end("broke", BROKEN_RETRY_S)
+            self._end("broke", BROKEN_RETRY_SECONDS)
 
     def _time_out(self, batch_number: int) -> None:
         """Leave if this batch is still open."""
@@ -380,7 +380,7 @@
             clients.record(Entry(t=clients.env.now(), k=cause, rid=sent.rid, router=self.router))
             sent.request.try_ended(cause, retry_after)
         for request in batch:
-            request.try_ended("unreachable", UNREACHABLE_RETRY_S if cause == "broke" else 0.0)
+            request.try_ended("unreachable", UNREACHABLE_RETRY_SECONDS if cause == "broke" else 0.0)
 
 
 def parse_answer(frame: bytes) -> tuple[str, float]:
--- a/banklift/judge/randoms.py
+++ b/banklift/judge/randoms.py
@@ -13,7 +13,7 @@
 from banklift.judge.day import Day, FaultOrder, load_day
 from banklift.proxy.plan import Config
 
-DURATION_S = 6.0
+DURATION_SECONDS = 6.0
 ROUTER_COUNT_RANGE = (3, 8)  # least and most routers
 # orders that a later order of the same name ends: least and greatest value
 VALUE_RANGES: dict[str, tuple[float, float]] = {
@@ -65,7 +65,7 @@
     absent = (random.choice(member_names[1:3]),) if random.random() < 0.2 else ()
     orders += [FaultOrder(at=random.uniform(1, 3), do="join", member=name) for name in absent]
     for _ in range(random.randint(1, 8)):
-        begin = random.uniform(0.3, DURATION_S - 1.5)
+        begin = random.uniform(0.3, DURATION_SECONDS - 1.5)
         end = begin + random.uniform(0.1, 2.5)
         do = random.choice([*VALUE_RANGES, *ENDING_ORDERS, "hang", "kill", "lag", "withhold", "stall_router"])
         member, router = random.choice(targets), random.randrange(routers)
@@ -99,7 +99,7 @@
     day = msgspec.structs.replace(
         day,
         title=f"random day {seed}",
-        seconds=DURATION_S,
+        seconds=DURATION_SECONDS,
         rate=random.choice((100.0, 250.0, 600.0)),
         sessions=random.choice((10, 60, 300)),
         roam=random.choice((0.0, 0.5, 1.0)),
--- a/banklift/judge/rules.py
+++ b/banklift/judge/rules.py
@@ -27,9 +27,10 @@
 from banklift.judge.trace import Entry, Head
 from banklift.judge.verdict import ClassTally, ClientTry, Verdict, Violation
 
-STALL_RECOVERY_S = 0.2  # time after a stall within which a router answers what had piled up
-DELIVERY_MARGIN_S = 0.05  # time that an answer's way to the client may take
-KILL_WINDOW_S = 5.0  # time after a router's kill within which a broken connection is put down to the kill
+STALL_RECOVERY_SECONDS = 0.2  # time after a stall within which a router answers what had piled up
+DELIVERY_MARGIN_SECONDS = 0.05  # time that an answer's way to the client may take
+# time after a router's kill within which a broken connection is put down to the kill
+KILL_WINDOW_SECONDS = 5.0
 STALLED_AT_DEADLINE, OPEN_AT_KILL = "deadline while its router stood still", "open at a router's kill"
 LEFT_DURING_STALL = "sent while the router had not yet seen, after it stood still, that its client was gone"
 # the share of a day's tries that each cause may excuse
@@ -107,7 +108,7 @@
             if entry.k == "killed":
                 self.kill_times[entry.router].append(entry.t)
             elif entry.k == "stalled":
-                self.stalls[entry.router].append((entry.t, entry.t + entry.patience + STALL_RECOVERY_S))
+                self.stalls[entry.router].append((entry.t, entry.t + entry.patience + STALL_RECOVERY_SECONDS))
 
     def add_violation(self, rule: int, reason: str, at: float, rid: str) -> None:
         """Record a violation at time `at` (seconds on the clock of the trace)."""
@@ -128,7 +129,7 @@
                 if client_try.answers
                 else [client_try.left_at or math.inf, client_try.broke_at or math.inf, trace_end]
             )
-            if ended_at > deadline + DELIVERY_MARGIN_S and any(
+            if ended_at > deadline + DELIVERY_MARGIN_SECONDS and any(
                 begin <= deadline <= end for begin, end in self.stalls[request.router]
             ):
                 self.verdict.excused[STALLED_AT_DEADLINE] += 1
@@ -138,7 +139,7 @@
                 self.add_violation(1, "more than one final answer", client_try.answers[1].t, rid)
             if client_try.answers:
                 answer = client_try.answers[0]
-                if answer.t > deadline + DELIVERY_MARGIN_S:
+                if answer.t > deadline + DELIVERY_MARGIN_SECONDS:
                     self.add_violation(
                         1, f"answered {answer.t - deadline:.3f} s after the deadline", answer.t, rid
                     )
@@ -163,7 +164,7 @@
                         self.add_violation(1, "sent to a member after the final answer", command.t, rid)
             elif client_try.left_at is not None:
                 tally.left += 1
-                if client_try.left_at > deadline + DELIVERY_MARGIN_S:
+                if client_try.left_at > deadline + DELIVERY_MARGIN_SECONDS:
                     self.add_violation(1, "no answer before the deadline", deadline, rid)
                 for command in client_try.commands:
                     if command.t <= client_try.left_at + self.head.crossing:
@@ -177,7 +178,7 @@
                         self.add_violation(1, "sent to a member after its client had left", command.t, rid)
             elif client_try.broke_at is not None:
                 if not any(
-                    killed_at - self.head.crossing <= client_try.broke_at <= killed_at + KILL_WINDOW_S
+                    killed_at - self.head.crossing <= client_try.broke_at <= killed_at + KILL_WINDOW_SECONDS
                     for killed_at in self.kill_times[request.router]
                 ):
                     self.add_violation(1, "connection closed without an answer", client_try.broke_at, rid)
--- a/banklift/judge/symptoms.py
+++ b/banklift/judge/symptoms.py
@@ -6,7 +6,7 @@
 
 from banklift.judge.trace import Entry, Head
 
-WINDOW_S = 1.0  # length of the windows in which members are compared
+WINDOW_SECONDS = 1.0  # length of the windows in which members are compared
 
 
 def symptoms(head: Head, entries: list[Entry]) -> dict[str, float]:
@@ -85,7 +85,7 @@
     """
     windows: dict[int, list[float]] = defaultdict(list)
     for at, _, duration in replies:
-        windows[int(at / WINDOW_S)].append(duration)
+        windows[int(at / WINDOW_SECONDS)].append(duration)
     return max(
         (median(window) / overall_median for window in windows.values() if len(window) >= 3), default=0.0
     )
@@ -99,7 +99,7 @@
     """
     windows: dict[tuple[int, int], list[float]] = defaultdict(list)
     for at, router, duration in replies:
-        windows[int(at / WINDOW_S), router].append(duration)
+        windows[int(at / WINDOW_SECONDS), router].append(duration)
     highest_ratio = 0.0
     indices = {index for index, _ in windows}
     for index in sorted(indices):
--- a/banklift/pg/front.py
+++ b/banklift/pg/front.py
@@ -11,8 +11,9 @@
 
 Connections are scarce, so slow and idle ones are closed:
 
-- A client that doesn't finish its startup, its first query or any message within `READ_TIMEOUT_S` is closed.
-- An idle client is closed after `idle_timeout` seconds, or `BUSY_IDLE_TIMEOUT_S` when many connections are in use.
+- A client that doesn't finish its startup, its first query or any message within `READ_TIMEOUT_SECONDS` is closed.
+- An idle client is closed after `idle_timeout` seconds, or `BUSY_IDLE_TIMEOUT_SECONDS` when many connections are in
+  use.
 - When a new client comes while all connections are in use, the client that has been idle longest is closed for it. If
   no client is idle, the new one is refused.
 
@@ -23,7 +24,7 @@
 | 53300 | refused; field D holds the milliseconds after which to retry, if the module gives a time |
 | 40003 | the request may have run and must not be repeated |
 | 08P01, 42601, 22001, 22023, 42710, 0A000 | the client's fault |
-| 57P05 | the client sent no query, or half a message, for `READ_TIMEOUT_S` |
+| 57P05 | the client sent no query, or half a message, for `READ_TIMEOUT_SECONDS` |
 """
 
 from __future__ import annotations
@@ -43,21 +44,21 @@
 from banklift.proxy.plan import Limits
 from banklift.proxy.wire import ClientRequest, Failed, Final, Refused, Served
 
-READ_TIMEOUT_S = 2.0  # time for a startup, for the first query and for the rest of a started message
-# Share of the allowed clients from which on `BUSY_IDLE_TIMEOUT_S` replaces the usual idle timeout.
+READ_TIMEOUT_SECONDS = 2.0  # time for a startup, for the first query and for the rest of a started message
+# Share of the allowed clients from which on `BUSY_IDLE_TIMEOUT_SECONDS` replaces the usual idle timeout.
 BUSY_CLIENTS_SHARE = 0.5
 # A client that sent one query and stays connected takes a connection that others need.
-BUSY_IDLE_TIMEOUT_S = 0.3
-SWEEP_INTERVAL_S = 0.1  # time between checks for slow and idle clients
+BUSY_IDLE_TIMEOUT_SECONDS = 0.3
+SWEEP_INTERVAL_SECONDS = 0.1  # time between checks for slow and idle clients
 # A client that has started up but not sent a query is not closed to make room for another within this time.
-FIRST_QUERY_GRACE_S = 1.0
+FIRST_QUERY_GRACE_SECONDS = 1.0
 # Clients still connect for this long after the shutdown notice; then idle connections are closed one by one.
-DRAIN_CLOSE_DELAY_S = 0.4
+DRAIN_CLOSE_DELAY_SECONDS = 0.4
 # All idle connections are closed this long before the router ends.
-DRAIN_CLOSE_LEAD_S = 1.0
+DRAIN_CLOSE_LEAD_SECONDS = 1.0
 MAX_BAD_STATEMENTS = 3  # the client's last bad statement closes its connection
 MAX_DEADLINE_FACTOR = 10  # a longer `d` than this multiple of the deadline of its class is refused
-MAX_COMMIT_AHEAD_S = 1.0  # how far the commit time in `after` may lie ahead of this router's clock
+MAX_COMMIT_AHEAD_SECONDS = 1.0  # how far the commit time in `after` may lie ahead of this router's clock
 STARTUP_ANSWER = (
     frames.AUTHENTICATION_OK
     + frames.parameter_status("server_version", "15.0 (banklift)")
@@ -127,14 +128,14 @@
         if len(self.clients) >= self.limits.clients:
             # Close the client that has been idle longest. A client that has sent a query connects again by itself. A
             # client that has only started up may be writing its first query, which would be lost, so it stays for
-            # FIRST_QUERY_GRACE_S. Clients that sent no byte are closed at once: they must not keep others out.
+            # FIRST_QUERY_GRACE_SECONDS. Clients that sent no byte are closed at once: they must not keep others out.
             evicted = next(
                 (
                     idle_client
                     for idle_client in self.idle_clients.values()
                     if idle_client.has_queried
                     or not (idle_client.reader.started or len(idle_client.reader))
-                    or idle_client.waiting_since + FIRST_QUERY_GRACE_S <= self.core.now
+                    or idle_client.waiting_since + FIRST_QUERY_GRACE_SECONDS <= self.core.now
                 ),
                 None,
             )
@@ -152,7 +153,7 @@
         self.clients[client_id] = self.idle_clients[client_id] = client
         if not self.sweep_scheduled:
             self.sweep_scheduled = True
-            self.core.call_at(self.core.now + SWEEP_INTERVAL_S, self._sweep)
+            self.core.call_at(self.core.now + SWEEP_INTERVAL_SECONDS, self._sweep)
 
     def data(self, client_id: int, data: bytes) -> None:
         """Bytes came from a client; they are ignored once its connection is closing."""
@@ -216,7 +217,7 @@
         Their clients then don't all connect to the other routers at once, and don't send a query here when there is no
         time left to answer it.
         """
-        self.drain_close_from = self.core.now + DRAIN_CLOSE_DELAY_S
+        self.drain_close_from = self.core.now + DRAIN_CLOSE_DELAY_SECONDS
 
     def leave(self) -> None:
         """Close idle connections now, and each other connection as soon as it has no pending command."""
@@ -284,7 +285,10 @@
         if (
             (
                 self.leaving
-                or (client.has_queried and self.core.now >= self.core.drain_deadline - DRAIN_CLOSE_LEAD_S)
+                or (
+                    client.has_queried
+                    and self.core.now >= self.core.drain_deadline - DRAIN_CLOSE_LEAD_SECONDS
+                )
             )
             and not client.queue
             and not len(client.reader)
@@ -318,7 +322,7 @@
         timeout = (
             self.idle_timeout
             if len(self.clients) < BUSY_CLIENTS_SHARE * self.limits.clients
-            else BUSY_IDLE_TIMEOUT_S
+            else BUSY_IDLE_TIMEOUT_SECONDS
         )
         if self.core.drain_deadline < math.inf:
             timeout = math.inf  # on shutdown idle connections are closed from `drain_close_from` on instead
@@ -329,15 +333,15 @@
                 if client.has_queried and not len(client.reader)
             ]
             # Spread the closing over the sweeps that remain; clients that have been idle longest come first.
-            share = SWEEP_INTERVAL_S / max(
-                SWEEP_INTERVAL_S, self.core.drain_deadline - DRAIN_CLOSE_LEAD_S - now
+            share = SWEEP_INTERVAL_SECONDS / max(
+                SWEEP_INTERVAL_SECONDS, self.core.drain_deadline - DRAIN_CLOSE_LEAD_SECONDS - now
             )
             for client in idle[: math.ceil(share * len(idle))]:
                 self._close(client)
         for client in list(self.idle_clients.values()):
             waited = now - client.waiting_since
             if len(client.reader) or not client.has_queried:
-                if waited >= READ_TIMEOUT_S:
+                if waited >= READ_TIMEOUT_SECONDS:
                     if client.reader.started:
                         self.core.actions.append(
                             ev.SendToClient(
@@ -354,7 +358,7 @@
                 self._close(client)
         self.sweep_scheduled = bool(self.clients)
         if self.sweep_scheduled:
-            self.core.call_at(now + SWEEP_INTERVAL_S, self._sweep)
+            self.core.call_at(now + SWEEP_INTERVAL_SECONDS, self._sweep)
 
     # ---- messages
 
@@ -461,7 +465,10 @@
             raise BadStatement("22023", reason)
         if statement.client_timeout_ms > MAX_DEADLINE_FACTOR * request_class.deadline * 1000:
             raise BadStatement("22023", f"d={statement.client_timeout_ms} is longer than anybody waits")
-        if statement.after_ms is not None and statement.after_ms / 1000 > self.core.now + MAX_COMMIT_AHEAD_S:
+        if (
+            statement.after_ms is not None
+            and statement.after_ms / 1000 > self.core.now + MAX_COMMIT_AHEAD_SECONDS
+        ):
             raise BadStatement("22023", f"after={statement.after_ms} is ahead of the clock")
         if statement.id in self.pending_ids:
             raise BadStatement("42710", "the id of a request that is open")
--- a/banklift/pg/wire.py
+++ b/banklift/pg/wire.py
@@ -8,8 +8,8 @@
 | `commit_clock` | its position, or a write's commit time, in Unix milliseconds |
 | `usage` | a load report, which is also the answer to `SHOW usage` |
 
-The module gets these values unchanged, with two exceptions. A position more than `MAX_POSITION_AHEAD_S` ahead of the
-clock is dropped: no member can have it, and it would satisfy every staleness check from then on. A load report that
+The module gets these values unchanged, with two exceptions. A position more than `MAX_POSITION_AHEAD_SECONDS` ahead of
+the clock is dropped: no member can have it, and it would satisfy every staleness check from then on. A load report that
 can't be parsed is dropped too.
 
 How an answer reads as an outcome:
@@ -46,11 +46,11 @@
 
 ANSWER_LIMIT = VALUE_LIMIT + 16 * 1024  # bytes of one answer with all its messages
 USAGE_QUERY = frames.query(b"SHOW usage")  # the probe
-MAX_POSITION_AHEAD_S = 0.05  # how far a position may be ahead of this router's clock
+MAX_POSITION_AHEAD_SECONDS = 0.05  # how far a position may be ahead of this router's clock
 # Time for which a link stays unused after an answer: unexpected bytes sent right behind the answer arrive within it.
-LINK_REST_S = 0.002
+LINK_REST_SECONDS = 0.002
 # A member sends its small answer in one piece, so an answer that is still incomplete after this time is malformed.
-ANSWER_COMPLETION_TIMEOUT_S = 0.15
+ANSWER_COMPLETION_TIMEOUT_SECONDS = 0.15
 MISS_SQLSTATES, FULL_SQLSTATE, NOT_PRIMARY_SQLSTATE = ("25006", "72000"), "53300", "25006"
 # an answer of the wrong shape; its link carries nothing more
 MALFORMED = Result(Status.ERROR, link_unusable=True)
@@ -117,12 +117,12 @@
     @property
     def settle_time(self) -> float:
         """Seconds for which a link stays unused after an answer."""
-        return LINK_REST_S
+        return LINK_REST_SECONDS
 
     @property
     def answer_completion_limit(self) -> float:
         """Seconds from an answer's first byte to its last; a link that takes longer is lost."""
-        return ANSWER_COMPLETION_TIMEOUT_S
+        return ANSWER_COMPLETION_TIMEOUT_SECONDS
 
     def proofs(self, core: Machine, groups: int) -> PgProofs:
         """What members report about themselves, for this core."""
@@ -295,7 +295,7 @@
         """The outcome of an attempt; only an answer with status OK is served."""
         state = result.member_info or MemberInfo()
         position = state.position
-        if position is not None and position > self.core.now + MAX_POSITION_AHEAD_S:
+        if position is not None and position > self.core.now + MAX_POSITION_AHEAD_SECONDS:
             position = None
         state = MemberInfo(state.primary, position, self._without_future_position(state.report))
         return AttemptResult(
@@ -307,7 +307,7 @@
         if (
             report is None
             or report.position is None
-            or report.position <= self.core.now + MAX_POSITION_AHEAD_S
+            or report.position <= self.core.now + MAX_POSITION_AHEAD_SECONDS
         ):
             return report
         return io.Report(None, report.primary, report.in_flight, report.queued, None)
--- a/banklift/proxy/fleet_plan.py
+++ b/banklift/proxy/fleet_plan.py
@@ -12,12 +12,12 @@
 
 from banklift.proxy.schema import Name, Strict
 
-MIN_LEASE = 0.5  # seconds; a shorter lease leaves no time to repeat a renewal before it ends
-MIN_SUB_LEASE = 0.3  # seconds; just below `SUB_LEASE_PART` of the shortest lease
-MAX_LEASE = 3600.0  # seconds
+MIN_LEASE_SECONDS = 0.5  # a shorter lease leaves no time to repeat a renewal before it ends
+MIN_SUB_LEASE_SECONDS = 0.3  # seconds; just below `SUB_LEASE_PART` of the shortest lease
+MAX_LEASE_SECONDS = 3600.0  # seconds
 SUB_LEASE_PART = 2 / 3  # of a lease: the part of an aggregator's own lease that is left at a regular renewal
-Lease = Annotated[float, Meta(ge=MIN_LEASE, le=MAX_LEASE)]
-SubLease = Annotated[float, Meta(ge=MIN_SUB_LEASE, le=MAX_LEASE)]
+Lease = Annotated[float, Meta(ge=MIN_LEASE_SECONDS, le=MAX_LEASE_SECONDS)]
+SubLease = Annotated[float, Meta(ge=MIN_SUB_LEASE_SECONDS, le=MAX_LEASE_SECONDS)]
 Drift = Annotated[float, Meta(ge=0, le=0.2)]
 Voters = Annotated[dict[Name, str], Meta(min_length=1)]
 
--- a/banklift/proxy/machine.py
+++ b/banklift/proxy/machine.py
@@ -52,7 +52,7 @@
 
 PROBE_LINK_VARIANT = -1  # variant of links that carry only probes
 # seconds that a link may take beyond the connect timeout: TCP resends a lost SYN after one second
-LATE_CONNECT_GRACE = 1.75
+LATE_CONNECT_GRACE_SECONDS = 1.75
 MAX_UNSERVED_LINES = 20  # log lines per second about unserved requests: an overload must not flood the log
 NO_MEMBER_INFO = MemberInfo()
 
@@ -682,14 +682,16 @@
             member.links[link.id] = link
             member.connecting += 1
         self.actions.append(ev.OpenLink(link.id, member.address))
-        self.call_at(self.now + self.limits.connect + LATE_CONNECT_GRACE, lambda: self._connect_expired(link))
+        self.call_at(
+            self.now + self.limits.connect + LATE_CONNECT_GRACE_SECONDS, lambda: self._connect_expired(link)
+        )
         if not self.sweep_scheduled:
             self.sweep_scheduled = True
             self.call_at(self.now + self.limits.idle / 2, self._close_idle)
         return link
 
     def _connect_expired(self, link: Link) -> None:
-        """Close a link that is not ready after the connect timeout and `LATE_CONNECT_GRACE`.
+        """Close a link that is not ready after the connect timeout and `LATE_CONNECT_GRACE_SECONDS`.
 
         A link that comes up late can still be used. One that never does would hold a file descriptor and a place
         under the limits for ever.
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -344,7 +344,7 @@
             self.add("changes", await run_changes(fleet, Victim.NONE, count, rate, 3, 1.5 * scale.rate_s))
             self.add(
                 "changes",
-                await run_changes(fleet, Victim.NONE, 1000, FASTEST_CHANGES_PER_S, 4, scale.fastest_s),
+                await run_changes(fleet, Victim.NONE, 1000, FASTEST_CHANGES_PER_SECOND, 4, scale.fastest_s),
             )
 
         for trial in self.selected_trials():
@@ -379,7 +379,7 @@
 
 
 # A rate out of reach: each change begins as soon as the last one has ended.
-FASTEST_CHANGES_PER_S = 1000.0
+FASTEST_CHANGES_PER_SECOND = 1000.0
 
 
 def slope_by_routers(
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -21,7 +21,7 @@
 from banklift.rig.world import FleetWorld
 
 RESULTS_FILE = Path(__file__).with_name("results") / "fleet.json"
-VERSION_WAIT_S = (
+VERSION_WAIT_SECONDS = (
     0.2  # time that the simulated operator's tool waits for the state's version before it asks for a change
 )
 
@@ -67,7 +67,7 @@
                     fleet.kill(name)
                 started_at = fleet.world.now()
                 assert fleet.change(b"second", patience=3 * lease, seconds=6 * lease) == "in force"
-                times.append(fleet.world.now() - started_at - VERSION_WAIT_S)
+                times.append(fleet.world.now() - started_at - VERSION_WAIT_SECONDS)
                 fleet.run(1.0)
                 assert fleet.violations == [] and set(fleet.serving().values()) == {2}
             results[f"{routers} routers, {voters} voters, {down} down"] = {
--- a/benchmarks/machine.py
+++ b/benchmarks/machine.py
@@ -23,8 +23,8 @@
 
 CLIENTS = 64
 REQUESTS = 3000  # in each round
-REQUEST_INTERVAL_S = 0.0002  # virtual time between two requests
-REPLY_DELAY_S = 0.0001  # virtual time that the member takes to answer
+REQUEST_INTERVAL_SECONDS = 0.0002  # virtual time between two requests
+REPLY_DELAY_SECONDS = 0.0001  # virtual time that the member takes to answer
 
 
 def drive(machine: Machine, now: float, requests: int) -> float:
@@ -33,14 +33,14 @@
     `now` is the virtual time in seconds. Returns the virtual time afterwards.
     """
     for number in range(requests):
-        now += REQUEST_INTERVAL_S
+        now += REQUEST_INTERVAL_SECONDS
         actions = deque(machine.handle(now, ev.ClientData(number % CLIENTS + 1, relay.GET)))
         while actions:
             action = actions.popleft()
             if isinstance(action, ev.OpenLink):
                 actions.extend(machine.handle(now, ev.LinkUp(action.link)))
             elif isinstance(action, ev.SendToLink):
-                now += REPLY_DELAY_S
+                now += REPLY_DELAY_SECONDS
                 status = b"$%d\r\n%b\r\n" % (len(relay.INFO), relay.INFO) if INFO in action.data else b""
                 value = relay.VALUE if relay.GET in action.data else b""
                 actions.extend(machine.handle(now, ev.LinkData(action.link, status + value)))
--- a/benchmarks/mutate.py
+++ b/benchmarks/mutate.py
@@ -42,7 +42,7 @@
     "tests/test_config.py",
 )
 CLIENTS = "tests/test_clients.py"  # tests with real clients on sockets; run for mutants of resp/front.py only
-TIMEOUT_S = 120.0  # limit for the tests, and for the days, of one mutant
+TIMEOUT_SECONDS = 120.0  # limit for the tests, and for the days, of one mutant
 # Program that plays workloads in virtual time and exits with an error if a rule is broken or too little is served.
 DAYS = """
 import sys
@@ -141,7 +141,12 @@
     env = {**os.environ, "PYTHONPATH": str(folder), "PYTHONDONTWRITEBYTECODE": "1"}
     try:
         finished = subprocess.run(
-            [sys.executable, *command], cwd=folder, env=env, timeout=TIMEOUT_S, capture_output=True, text=True
+            [sys.executable, *command],
+            cwd=folder,
+            env=env,
+            timeout=TIMEOUT_SECONDS,
+            capture_output=True,
+            text=True,
         )
     except subprocess.TimeoutExpired:
         return "timeout"
--- a/benchmarks/pg_machine.py
+++ b/benchmarks/pg_machine.py
@@ -24,12 +24,12 @@
 from banklift.proxy.plan import Limits
 from banklift.rig.platform_settings import SETTINGS
 
-REQUEST_INTERVAL_S = 0.004
-CONNECT_DELAY_S = 0.005
-LOGIN_DELAY_S = 0.001
-USAGE_DELAY_S = 0.002
-STATEMENT_DELAY_S = 0.03
-CLIENT_CLOSE_DELAY_S = 0.5  # from an answer to the client that closes its connection
+REQUEST_INTERVAL_SECONDS = 0.004
+CONNECT_DELAY_SECONDS = 0.005
+LOGIN_DELAY_SECONDS = 0.001
+USAGE_DELAY_SECONDS = 0.002
+STATEMENT_DELAY_SECONDS = 0.03
+CLIENT_CLOSE_DELAY_SECONDS = 0.5  # from an answer to the client that closes its connection
 
 
 def statement_reply(now: float, primary: bool) -> bytes:
@@ -92,26 +92,26 @@
             match action:
                 case ev.OpenLink(link, address):
                     self.links[link] = address
-                    self.schedule(CONNECT_DELAY_S, ev.LinkUp(link))
+                    self.schedule(CONNECT_DELAY_SECONDS, ev.LinkUp(link))
                 case ev.CloseLink(link):
                     del self.links[link]
                 case ev.SendToLink(link, data):
                     primary = self.links[link][2] == "0"
                     if data[4:8] == b"\0\x03\0\0":
                         self.schedule(
-                            LOGIN_DELAY_S,
+                            LOGIN_DELAY_SECONDS,
                             ev.LinkData(link, frames.AUTHENTICATION_OK + frames.READY_FOR_QUERY),
                         )
                     elif data == USAGE_QUERY:
-                        self.schedule(USAGE_DELAY_S, ev.LinkData(link, usage_reply(self.now, primary)))
+                        self.schedule(USAGE_DELAY_SECONDS, ev.LinkData(link, usage_reply(self.now, primary)))
                     else:
                         self.schedule(
-                            STATEMENT_DELAY_S, ev.LinkData(link, statement_reply(self.now, primary))
+                            STATEMENT_DELAY_SECONDS, ev.LinkData(link, statement_reply(self.now, primary))
                         )
                 case ev.SendToClient(client, data):
                     if data[:1] == b"T":
                         self.served += 1
-                        self.schedule(CLIENT_CLOSE_DELAY_S, ev.ClientLost(client))
+                        self.schedule(CLIENT_CLOSE_DELAY_SECONDS, ev.ClientLost(client))
 
     def run_until(self, end: float) -> None:
         """Advance the virtual time to `end` (seconds), handling timers and events that are due before it."""
@@ -154,7 +154,7 @@
         for _ in range(requests // 4):
             number += 1
             simulation.send_request(number)
-            simulation.run_until(simulation.now + REQUEST_INTERVAL_S)
+            simulation.run_until(simulation.now + REQUEST_INTERVAL_SECONDS)
         cost_us = (simulation.processor_s - processor_s_before) / (requests // 4) * 1e6
         objects = len(gc.get_objects())
         size = f", {tracemalloc.get_traced_memory()[0]:,} bytes" if tracing else ""
--- a/tests/surroundings.py
+++ b/tests/surroundings.py
@@ -12,11 +12,11 @@
 from banklift.net.sockets import SocketEnv
 
 # seconds after which a test stops waiting for its condition; a passing test never waits that long
-TEST_TIMEOUT_S = 20.0
+TEST_TIMEOUT_SECONDS = 20.0
 
 
 def run_until(start: Callable[[SocketEnv], Callable[[], bool]], exclusive_loop: bool = True) -> None:
-    """Call `start` in an event loop, and run until the condition that it returns holds, or `TEST_TIMEOUT_S` has passed.
+    """Call `start` in an event loop, and run until the condition it returns holds, or `TEST_TIMEOUT_SECONDS` pass.
 
     `exclusive_loop`: passed on to `SocketEnv`, where it means that nothing else needs the event loop.
     """
@@ -24,7 +24,7 @@
     async def run_in_loop() -> None:
         async with anyio.create_task_group() as tasks:
             env = SocketEnv(tasks, exclusive_loop=exclusive_loop)
-            is_done, end = start(env), env.now() + TEST_TIMEOUT_S
+            is_done, end = start(env), env.now() + TEST_TIMEOUT_SECONDS
 
             def check() -> None:
                 if not is_done() and env.now() < end:
--- a/tests/test_cli_fleet.py
+++ b/tests/test_cli_fleet.py
@@ -341,7 +341,7 @@
 
 
 def test_commands_exit_with_3_if_no_voter_answers(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(fleet_client, "SHOW_TIMEOUT_S", 0.5)
+    monkeypatch.setattr(fleet_client, "SHOW_TIMEOUT_SECONDS", 0.5)
     path = write(tmp_path, {"v0": free_address()})
     for command in (["fleet"], ["policy", "show"], ["policy", "history"]):
         result = run(*command, "--config", str(path))
@@ -365,7 +365,7 @@
 def test_reason_of_a_voter_that_refuses_the_connection_is_printed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(fleet_client, "SHOW_TIMEOUT_S", 0.5)
+    monkeypatch.setattr(fleet_client, "SHOW_TIMEOUT_SECONDS", 0.5)
     member = FakeGrantor(
         "v0", always_reply(), greeting=Bye("version 2 of the fleet's messages, here it is 1", True)
     )
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,7 +16,7 @@
 
 from banklift.net.env import Handle, Peer
 from banklift.net.sockets import MAX_LINGERING_CONNECTIONS, SocketEnv
-from tests.surroundings import TEST_TIMEOUT_S, open_connections, run_until
+from tests.surroundings import TEST_TIMEOUT_SECONDS, open_connections, run_until
 from tests.test_service import Platform, platform
 
 __all__ = ["platform"]  # the fixture
@@ -161,7 +161,7 @@
 
     def act(env: SocketEnv) -> Callable[[], bool]:
         callers.extend(open_connections(env, [peer], 1))
-        callers[0].settimeout(TEST_TIMEOUT_S)
+        callers[0].settimeout(TEST_TIMEOUT_SECONDS)
 
         def answer(handle: Handle) -> None:
             callers[0].sendall(b"second")
@@ -202,7 +202,7 @@
         return lambda: len(peer.notes) > 1
 
     run_until(act)
-    callers[0].settimeout(TEST_TIMEOUT_S)
+    callers[0].settimeout(TEST_TIMEOUT_SECONDS)
     assert callers[0].recv(100) == b""
     callers[0].close()
 
--- a/tests/test_fleet_daemon.py
+++ b/tests/test_fleet_daemon.py
@@ -34,7 +34,7 @@
 # Leases in seconds, longer than any of these tests, so that a lease that has ended was released.
 LEASE = 120.0
 SUB_LEASE = 90.0
-TIMEOUT_S = 60.0  # limit of any step on a busy machine; less than two thirds of a lease or sub-lease
+TIMEOUT_SECONDS = 60.0  # limit of any step on a busy machine; less than two thirds of a lease or sub-lease
 BAD_FILE = 2  # exit code of a file, or of a member, that is refused
 FAILED = 1  # exit code of a process that could not run
 
@@ -211,7 +211,7 @@
                     do_nothing,
                 )
                 host.start()
-                with anyio.fail_after(TIMEOUT_S):
+                with anyio.fail_after(TIMEOUT_SECONDS):
                     other, _ = await anyio.to_thread.run_sync(listener.accept)
                     await leave(host, env)
                 other.close()
@@ -262,7 +262,7 @@
         self.running[name] = process
         assert process.stdout is not None
         line = b""
-        with anyio.fail_after(TIMEOUT_S):
+        with anyio.fail_after(TIMEOUT_SECONDS):
             while not line.endswith(b"\n"):
                 line += await process.stdout.receive()
         announced: dict[str, Any] = json.loads(line)
@@ -275,12 +275,12 @@
     async def stop(self, name: str, number: signal.Signals = signal.SIGTERM) -> int:
         """Send a signal to a process and wait for its end. Returns its exit code."""
         self.running[name].send_signal(number)
-        with anyio.fail_after(TIMEOUT_S):
+        with anyio.fail_after(TIMEOUT_SECONDS):
             return await self.running[name].wait()
 
     async def run_to_end(self, command: str, path: Path) -> tuple[int, str]:
         """Run a process that ends by itself. Returns its exit code and standard error."""
-        with anyio.fail_after(TIMEOUT_S):
+        with anyio.fail_after(TIMEOUT_SECONDS):
             completed = await anyio.run_process(
                 [sys.executable, "-m", "banklift", command, "--config", str(path)], check=False
             )
@@ -289,7 +289,7 @@
     async def fleet(self) -> dict[str, Any]:
         """The output of `banklift fleet --routers --json`."""
         command = [sys.executable, "-m", "banklift", "fleet", "--json", "--routers", "--config"]
-        with anyio.fail_after(TIMEOUT_S):
+        with anyio.fail_after(TIMEOUT_SECONDS):
             completed = await anyio.run_process([*command, str(self.file("r0"))], check=False)
         assert completed.returncode == 0, completed.stderr.decode()
         shown: dict[str, Any] = json.loads(completed.stdout)
@@ -298,10 +298,10 @@
     async def wait_until(self, condition: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
         """Run `banklift fleet` until `condition` holds for its output, and return that.
 
-        Errors: `AssertionError` with the last output and the logs, after `TIMEOUT_S`.
+        Errors: `AssertionError` with the last output and the logs, after `TIMEOUT_SECONDS`.
         """
         shown: dict[str, Any] = {}
-        with anyio.move_on_after(TIMEOUT_S):
+        with anyio.move_on_after(TIMEOUT_SECONDS):
             while not condition(shown := await self.fleet()):
                 await anyio.sleep(0.05)
             return shown
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -16,7 +16,7 @@
 from banklift.net.service import ConfigurationError, Service, StartConfig, parse
 from banklift.net.sockets import SocketEnv
 from banklift.pg import frames
-from banklift.proxy.machine import LATE_CONNECT_GRACE
+from banklift.proxy.machine import LATE_CONNECT_GRACE_SECONDS
 from tests.platform_site import SETTINGS, Site, SiteClient, code, value
 
 NO_PROBES: dict[str, Any] = {**SETTINGS, "allowed": {**SETTINGS["allowed"], "probing": False}}
@@ -149,7 +149,7 @@
     caller.send(frames.query(site.write("k", "02").encode()), 0.1)
     opening = [link for link in site.machine.links.values() if not link.up]
     assert opening
-    site.run(2.0 + site.start.connect_timeout + LATE_CONNECT_GRACE)
+    site.run(2.0 + site.start.connect_timeout + LATE_CONNECT_GRACE_SECONDS)
     assert not any(link.id in site.machine.links for link in opening)
     assert not site.machine.members["p"].connecting and not site.machine.awaiting_link
     site.world.connect_delays.clear()
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -30,7 +30,7 @@
 from banklift.proxy import events as ev
 from tests import test_crowd
 from tests.platform_site import SETTINGS, Site, SiteClient, value
-from tests.surroundings import TEST_TIMEOUT_S, open_connections, run_until
+from tests.surroundings import TEST_TIMEOUT_SECONDS, open_connections, run_until
 from tests.test_balance import SETTINGS as MODULE_SETTINGS
 from tests.test_balance import actions_of_type
 from tests.test_rare_moments import is_draining, pushed_settings
@@ -391,7 +391,7 @@
     def stay_idle() -> None:
         """Connect without sending anything, again after each close, until the test stops."""
         while not stopping.is_set():
-            with socket.create_connection((host, int(port)), timeout=TEST_TIMEOUT_S) as sock:
+            with socket.create_connection((host, int(port)), timeout=TEST_TIMEOUT_SECONDS) as sock:
                 sock.settimeout(0.2)
                 while not stopping.is_set():
                     try:
