--- a/banklift/balance.py
+++ b/banklift/balance.py
@@ -326,15 +326,15 @@
             self.apply_report(member, event.report or interface.Report(), self.now - event.latency)
             self.retry_held_requests(member.group, MAX_MISSES_PER_EVENT, member)
 
-    def apply_report(self, member: Member, report: interface.Report, asked: float) -> None:
-        """Record a member's load, position and role; `asked` is when the question or the request was sent."""
+    def apply_report(self, member: Member, report: interface.Report, asked_at: float) -> None:
+        """Record a member's load, position and role; `asked_at` is when the question or the request was sent."""
         loads = [load for load in (report.in_flight, report.queued) if load is not None]
         member.load = sum(loads if self.is_large_fleet else loads[:1]) if loads else member.load
         if loads and self.expected_latency(member) <= LATENCY_TARGET_AIM_SHARE * self.shortest_aim:
             member.overloaded_at = -math.inf
         if report.position is not None:
             member.position = max(member.position, report.position)
-            lag = asked - member.position
+            lag = asked_at - member.position
             member.replication_lag = lag if lag > max(STALLED_POSITION_AGE, self.shortest_aim) else 0.0
         role_at = (
             report.position if report.at is None else report.at
--- a/banklift/pg/wire.py
+++ b/banklift/pg/wire.py
@@ -324,17 +324,17 @@
         """Nothing to do before a probe."""
         return
 
-    def probe_answered(self, member: MemberRecord, asked: float, frame: bytes) -> None:
-        """A probe sent at `asked` (seconds) was answered: report its figures, or a failed probe if there are none."""
+    def probe_answered(self, member: MemberRecord, asked_at: float, frame: bytes) -> None:
+        """A probe sent at `asked_at` (seconds) was answered: report its figures, or a failed probe without any."""
         # An ErrorResponse (E) shows that the member is alive; it refuses probes that come too often.
         if any(message_type == 69 for message_type, _, _ in frames.split_messages(frame)):
-            self.core.report_probe(member, asked, None)
+            self.core.report_probe(member, asked_at, None)
             return
         report = self._without_future_position(read_usage(frame))
         if report is None:
-            self.core.probe_failed(member, asked)
+            self.core.probe_failed(member, asked_at)
         else:
-            self.core.report_probe(member, asked, report)
+            self.core.report_probe(member, asked_at, report)
 
     def probes_failed(self, member: MemberRecord) -> None:
         """Nothing to do: the module knows of the failure."""
--- a/banklift/proxy/machine.py
+++ b/banklift/proxy/machine.py
@@ -616,36 +616,36 @@
 
     def probe(self, member: MemberRecord) -> None:
         """Ask a member for its role, position and load, on its probe link or an idle link."""
-        link, asked = member.probe_link, self.now
+        link, asked_at = member.probe_link, self.now
         if link is None:
             apart, idle = self.wire.has_probe_links, member.idle_links.get(0)
             link = self._take_rested(idle) if idle and not apart else None
             if link is None and not apart and not self._make_room():
-                self.probe_failed(member, asked)
+                self.probe_failed(member, asked_at)
                 return
             link = member.probe_link = link or self._open_link(member, PROBE_LINK_VARIANT if apart else 0)
-        member.pending_probes.append(asked)
+        member.pending_probes.append(asked_at)
         if (
             link.up
             and not link.greeting_frames
             and (self.wire.pipelines_probes or len(member.pending_probes) == 1)
         ):
             self.actions.append(ev.SendToLink(link.id, self.wire.probe()))
-        self.call_at(asked + self.limits.probe, lambda: self._probe_expired(member, link, asked))
+        self.call_at(asked_at + self.limits.probe, lambda: self._probe_expired(member, link, asked_at))
 
-    def _probe_expired(self, member: MemberRecord, link: Link, asked: float) -> None:
+    def _probe_expired(self, member: MemberRecord, link: Link, asked_at: float) -> None:
         """Fail a probe that got no answer within `Limits.probe`, and all others on its link."""
-        if member.probe_link is link and member.pending_probes and member.pending_probes[0] <= asked:
+        if member.probe_link is link and member.pending_probes and member.pending_probes[0] <= asked_at:
             self._fail_probes(member)
             self._close_link(link)
 
     def _fail_probes(self, member: MemberRecord) -> None:
         """Fail every unanswered probe of a member."""
-        asked_at = list(member.pending_probes)
+        probe_times = list(member.pending_probes)
         member.pending_probes.clear()
         member.probe_link = None
-        for asked in asked_at:
-            self.probe_failed(member, asked)
+        for asked_at in probe_times:
+            self.probe_failed(member, asked_at)
         self.proofs.probes_failed(member)
 
     def _probe_answered(self, link: Link, frame: bytes) -> None:
@@ -654,22 +654,22 @@
         if not member.pending_probes:
             self._close_link(link)  # an answer without a probe
             return
-        asked = member.pending_probes.popleft()
+        asked_at = member.pending_probes.popleft()
         link.idle_since = self.now
         if member.pending_probes and not self.wire.pipelines_probes:
             self.actions.append(ev.SendToLink(link.id, self.wire.probe()))
         elif not member.pending_probes and link.link_variant != PROBE_LINK_VARIANT:
             member.probe_link, link.unused = None, False
             self._link_free(link)
-        self.proofs.probe_answered(member, asked, frame)
+        self.proofs.probe_answered(member, asked_at, frame)
 
-    def probe_failed(self, member: MemberRecord, asked: float) -> None:
-        """Tell the balancer that a probe, asked for at `asked`, got no usable answer."""
-        self._notify_balancer(io.Probed(member.balancer_name, False, self.now - asked))
+    def probe_failed(self, member: MemberRecord, asked_at: float) -> None:
+        """Tell the balancer that a probe, asked for at `asked_at`, got no usable answer."""
+        self._notify_balancer(io.Probed(member.balancer_name, False, self.now - asked_at))
 
-    def report_probe(self, member: MemberRecord, asked: float, report: io.Report | None) -> None:
-        """Tell the balancer what a probe, asked for at `asked`, has found; None if the answer had no report."""
-        self._notify_balancer(io.Probed(member.balancer_name, True, self.now - asked, report))
+    def report_probe(self, member: MemberRecord, asked_at: float, report: io.Report | None) -> None:
+        """Tell the balancer what a probe, asked for at `asked_at`, has found; None if the answer had no report."""
+        self._notify_balancer(io.Probed(member.balancer_name, True, self.now - asked_at, report))
 
     # ---- links
 
--- a/banklift/proxy/wire.py
+++ b/banklift/proxy/wire.py
@@ -172,8 +172,8 @@
     def before_probe(self, member: MemberRecord) -> None:
         """The balancer is about to probe a member; other members may be probed with it."""
 
-    def probe_answered(self, member: MemberRecord, asked: float, frame: bytes) -> None:
-        """Handle the answer to a probe that was asked for at `asked`.
+    def probe_answered(self, member: MemberRecord, asked_at: float, frame: bytes) -> None:
+        """Handle the answer to a probe that was asked for at `asked_at`.
 
         Calls `Machine.report_probe` or `Machine.probe_failed` once, now or soon.
         """
--- a/banklift/resp/proofs.py
+++ b/banklift/resp/proofs.py
@@ -143,15 +143,15 @@
         return fact.position is not None and fact.position >= required_position
 
     def learn(
-        self, member: MemberRecord, reported: ReplicationStatus, asked: float, waiting: float | None
+        self, member: MemberRecord, reported: ReplicationStatus, asked_at: float, waiting: float | None
     ) -> ProvenFacts:
-        """Takes in a member's replication status, asked for at `asked`, and acts on what it implies.
+        """Takes in a member's replication status, asked for at `asked_at`, and acts on what it implies.
 
         `waiting`: when the oldest write was sent that the member has not answered (see `unanswered_since`
         of `ReplicationHistory.record_answer`).
         """
         fact = self.histories[member.group].record_answer(
-            member.name, reported, asked, self.core.now, waiting
+            member.name, reported, asked_at, self.core.now, waiting
         )
         if fact.history_unknown:
             member.protocol_state.history_unknown = True
@@ -184,13 +184,13 @@
         if primary is not None and primary is not member and not primary.pending_probes:
             self.core.probe(primary)
 
-    def probe_answered(self, member: MemberRecord, asked: float, frame: bytes) -> None:
+    def probe_answered(self, member: MemberRecord, asked_at: float, frame: bytes) -> None:
         """A member has answered a probe: reports it now, or once the sample of the primary has come."""
         core = self.core
         reported = parse_replication_status(frame)
         # an answer without a status: the member is loading, or the router has no permission to ask
         if reported is None:
-            core.probe_failed(member, asked)
+            core.probe_failed(member, asked_at)
             return
         waiting = member.protocol_state.unanswered_since
         if waiting is None:
@@ -203,18 +203,18 @@
                 ),
                 default=None,
             )
-        fact = self.learn(member, reported, asked, waiting)
+        fact = self.learn(member, reported, asked_at, waiting)
         primary = self._primary_of(member)
         if (
             fact.primary is not True
             and primary is not None
             and primary.pending_probes
-            and primary.pending_probes[0] <= asked
+            and primary.pending_probes[0] <= asked_at
         ):
-            self.delayed_reports.setdefault(member.group, []).append((member, asked, reported.load or 0.0))
+            self.delayed_reports.setdefault(member.group, []).append((member, asked_at, reported.load or 0.0))
             core.call_at(core.now + SAMPLE_WAIT_SECONDS, lambda: self._send_delayed_reports(member.group))
             return
-        self._report(member, asked, fact.primary, fact.position, reported.load)
+        self._report(member, asked_at, fact.primary, fact.position, reported.load)
         if fact.primary:
             self._send_delayed_reports(member.group)
 
@@ -233,17 +233,17 @@
 
     def _send_delayed_reports(self, group: int) -> None:
         """Sends the delayed reports of a group, as the sample has come or won't come."""
-        for member, asked, load in self.delayed_reports.pop(group, ()):
+        for member, asked_at, load in self.delayed_reports.pop(group, ()):
             position, _ = self.histories[group].proven_position(member.name)
-            self._report(member, asked, False, position, load)
+            self._report(member, asked_at, False, position, load)
 
     def _report(
         self,
         member: MemberRecord,
-        asked: float,
+        asked_at: float,
         primary: bool | None,
         position: float | None,
         load: float | None,
     ) -> None:
-        """Reports a member's role, position and load (commands in flight there), as asked for at `asked`."""
-        self.core.report_probe(member, asked, io.Report(position, primary, load, None, asked))
+        """Reports a member's role, position and load (commands in flight there), as asked for at `asked_at`."""
+        self.core.report_probe(member, asked_at, io.Report(position, primary, load, None, asked_at))
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -118,8 +118,8 @@
                     self.probes_by_member[member] += 1
                     self.at(
                         self.now + 0.002,
-                        lambda member=member, asked=self.now: self.tell(  # type: ignore[misc]
-                            router, Probed(member, True, self.now - asked, self.report(member))
+                        lambda member=member, asked_at=self.now: self.tell(  # type: ignore[misc]
+                            router, Probed(member, True, self.now - asked_at, self.report(member))
                         ),
                     )
                 case Send(request, member):
