--- a/banklift/emulator/shell.py
+++ b/banklift/emulator/shell.py
@@ -40,25 +40,27 @@
     def carry_out(self, actions: list[MemberAction]) -> None:
         """Carry out the actions that the member returned, and pass to the tap those that only record something."""
         now = self.env.now()
-        for act in list(actions):
-            if act.kind == "send":
+        for action in list(actions):
+            if action.kind == "send":
                 handle = (
-                    self.upstream if act.connection_id == UPSTREAM_ID else self.handles.get(act.connection_id)
+                    self.upstream
+                    if action.connection_id == UPSTREAM_ID
+                    else self.handles.get(action.connection_id)
                 )
-                if handle is not None and act.data:
-                    handle.send(act.data)
-            elif act.kind == "close":
-                if act.connection_id == UPSTREAM_ID:
+                if handle is not None and action.data:
+                    handle.send(action.data)
+            elif action.kind == "close":
+                if action.connection_id == UPSTREAM_ID:
                     self._close_upstream()
-                elif (handle := self.handles.pop(act.connection_id, None)) is not None:
+                elif (handle := self.handles.pop(action.connection_id, None)) is not None:
                     handle.finish()
                     if self.tap is not None:
-                        self.tap(now, self.member.name, act)
-            elif act.kind == "connect":
+                        self.tap(now, self.member.name, action)
+            elif action.kind == "connect":
                 self._close_upstream()
-                self.upstream = self.env.connect(act.data.decode(), _UpstreamPeer(self))
+                self.upstream = self.env.connect(action.data.decode(), _UpstreamPeer(self))
             elif self.tap is not None:
-                self.tap(now, self.member.name, act)
+                self.tap(now, self.member.name, action)
         self.timer.reschedule()
 
     def _close_upstream(self) -> None:
--- a/banklift/fleet/lease.py
+++ b/banklift/fleet/lease.py
@@ -68,7 +68,7 @@
         super().__init__(grantors, lease, drift, random)
         self.uses_aggregators = uses_aggregators
         self.quorum = 1 if uses_aggregators else majority(len(grantors))
-        self.preference_rank = {name: place for place, name in enumerate(grantors)}
+        self.preference_rank = {name: index for index, name in enumerate(grantors)}
         self.active_aggregator = grantors[0]  # the one that it leases from; of no meaning without aggregators
         self.policies = PolicyCache(check)
         self.epoch_digests: dict[int, str] = {}  # digest of the policy of each epoch that was granted
--- a/banklift/judge/day.py
+++ b/banklift/judge/day.py
@@ -267,17 +267,17 @@
         self.clients.close()
         now = self.env.now()
         for name in self.stand.primaries.values():
-            node = self.stand.hosts[name].member
-            self.record(Entry(t=now, k="end", member=name, line=node.replid, offset=node.offset))
-            for key in sorted(node.data):
-                value = node.store.apply([b"GET", key], now)
+            member = self.stand.hosts[name].member
+            self.record(Entry(t=now, k="end", member=name, line=member.replid, offset=member.offset))
+            for key in sorted(member.data):
+                value = member.store.apply([b"GET", key], now)
                 self.record(
                     Entry(
                         t=now,
                         k="end",
                         member=name,
-                        line=node.replid,
-                        offset=node.offset,
+                        line=member.replid,
+                        offset=member.offset,
                         keys=[key.decode("latin-1")],
                         values=[value.decode("latin-1") if isinstance(value, bytes) else ""],
                     )
--- a/banklift/resp/front.py
+++ b/banklift/resp/front.py
@@ -79,7 +79,7 @@
 class WaitingCommand:
     """A command that waits for earlier commands of its connection and group."""
 
-    place: PipelineEntry
+    entry: PipelineEntry
     request_class: RequestClass
     exchange: SingleCommand | Transaction
     arrived: float  # router's clock, seconds
@@ -183,16 +183,16 @@
         refused = encode(Error("TRYAGAIN refused: nothing ran; the client closed its side"))
         for queue in state.queues.values():
             for waiting in queue.waiting:
-                if waiting.place.answer is None:
-                    waiting.place.answer = refused
+                if waiting.entry.answer is None:
+                    waiting.entry.answer = refused
             queue.waiting.clear()
-        for place in list(state.pipeline):
+        for entry in list(state.pipeline):
             if (
-                place.request is not None
-                and place.answer is None
-                and not self.core.has_running_attempt(place.request)
+                entry.request is not None
+                and entry.answer is None
+                and not self.core.has_running_attempt(entry.request)
             ):
-                self._give_up(place, refused)
+                self._give_up(entry, refused)
         self._flush(state)
 
     def half_closed(self, client: int) -> None:
@@ -206,10 +206,10 @@
             return
         state.closing = True
         state.queues.clear()
-        for place in state.pipeline:
-            if place.request is not None and place.answer is None:
-                self.entries_by_request.pop(place.request, None)
-                self.core.abandon(place.request)
+        for entry in state.pipeline:
+            if entry.request is not None and entry.answer is None:
+                self.entries_by_request.pop(entry.request, None)
+                self.core.abandon(entry.request)
 
     def set_output_full(self, client: int, is_full: bool) -> None:
         """The client has stopped reading its replies, or reads them again: pauses or resumes its commands."""
@@ -226,19 +226,19 @@
         found = self.entries_by_request.pop(request.ids[0], None) if request.ids else None
         if found is None:
             return
-        state, place = found
+        state, entry = found
         match final:
             case Served(answer, seen):
-                place.answer = answer
+                entry.answer = answer
                 if seen is not None:
                     self._merge_mark(self._session_marks(state), request.group, seen)
             case Refused(retry_after, may_have_run):
-                place.answer = encode_refusal(retry_after, may_have_run)
+                entry.answer = encode_refusal(retry_after, may_have_run)
             case Failed():
-                place.answer = UNCERTAIN_ERROR
-        if place.queue is not None:
-            place.queue.release(request.request_class)
-            self._start_waiting(state, request.group, place.queue)
+                entry.answer = UNCERTAIN_ERROR
+        if entry.queue is not None:
+            entry.queue.release(request.request_class)
+            self._start_waiting(state, request.group, entry.queue)
         self._flush(state)
 
     def adopt(self, plan: object) -> None:
@@ -269,32 +269,32 @@
 
     # ---- the pipeline
 
-    def _give_up(self, place: PipelineEntry, untouched: bytes) -> None:
+    def _give_up(self, entry: PipelineEntry, untouched: bytes) -> None:
         """Answers a command now, by what is known of its outcome. `untouched`: the reply if no member received it."""
-        if place.request is None:
-            place.answer = untouched
+        if entry.request is None:
+            entry.answer = untouched
             return
-        may_have_run = self.core.may_have_run(place.request)
-        repeatable = self.core.safe_to_repeat(place.request)
-        self.core.abandon(place.request)
-        self.entries_by_request.pop(place.request, None)
-        place.answer = (
+        may_have_run = self.core.may_have_run(entry.request)
+        repeatable = self.core.safe_to_repeat(entry.request)
+        self.core.abandon(entry.request)
+        self.entries_by_request.pop(entry.request, None)
+        entry.answer = (
             untouched if not may_have_run else encode_refusal(0.0, True) if repeatable else UNCERTAIN_ERROR
         )
-        if place.queue is not None and place.request_class is not None:
-            place.queue.release(place.request_class)
+        if entry.queue is not None and entry.request_class is not None:
+            entry.queue.release(entry.request_class)
 
-    def _expire(self, state: ClientConnection, place: PipelineEntry) -> None:
+    def _expire(self, state: ClientConnection, entry: PipelineEntry) -> None:
         """The time of a command is over, but a command ahead of it has a later deadline.
 
         Gives up everything without a reply up to and including this command, so that its reply leaves in time.
         """
-        if state.id not in self.clients or place not in state.pipeline:
+        if state.id not in self.clients or entry not in state.pipeline:
             return
         for other in list(state.pipeline):  # copied, as giving up one may end others and let more be read
             if other.answer is None and other.deferred is None:
                 self._give_up(other, encode_refusal(0.0, False))
-            if other is place:
+            if other is entry:
                 break
         for group, queue in list(state.queues.items()):
             self._start_waiting(state, group, queue)
@@ -311,9 +311,9 @@
                 args = state.reader.next()
                 if args is None:
                     break
-                place = PipelineEntry()
-                state.pipeline.append(place)
-                self._dispatch(state, place, args)
+                entry = PipelineEntry()
+                state.pipeline.append(entry)
+                self._dispatch(state, entry, args)
         except ProtocolError as error:
             state.pipeline.append(PipelineEntry(encode(Error(f"ERR Protocol error: {error}"))))
             state.closing = True
@@ -355,31 +355,31 @@
 
     # ---- commands
 
-    def _dispatch(self, state: ClientConnection, place: PipelineEntry, args: list[bytes]) -> None:
+    def _dispatch(self, state: ClientConnection, entry: PipelineEntry, args: list[bytes]) -> None:
         """Answers a command, queues it in a transaction, or submits it to the core."""
         name = args[0].upper()
         spec = find_command(name)
         if self.passwords and state.user is None and name not in (b"AUTH", b"HELLO", b"QUIT", b"RESET"):
-            return self._reply(state, place, Error("NOAUTH Authentication required."))
+            return self._reply(state, entry, Error("NOAUTH Authentication required."))
         if spec is None:
             shown_name = args[0][:128].decode("utf-8", "replace")
             shown_args = " ".join(f"'{arg[:128].decode('utf-8', 'replace')}'" for arg in args[1:4])
             state.transaction_failed = True
             return self._reply(
                 state,
-                place,
+                entry,
                 Error(f"ERR unknown command '{shown_name}', with args beginning with: {shown_args}"),
             )
         if len(args) < spec.min_args:
             state.transaction_failed = True
             return self._reply(
-                state, place, Error(f"ERR wrong number of arguments for '{spec.name.lower()}' command")
+                state, entry, Error(f"ERR wrong number of arguments for '{spec.name.lower()}' command")
             )
         if spec.kind is CommandKind.DEDICATED:
             state.transaction_failed = True
             return self._reply(
                 state,
-                place,
+                entry,
                 Error(f"ERR {spec.name} needs a connection of its own, which this router doesn't give"),
             )
         if spec.kind is CommandKind.LOCAL:
@@ -392,9 +392,9 @@
             ):
                 state.transaction_failed = True
                 return self._reply(
-                    state, place, Error(f"ERR {spec.name} can't stand in a MULTI of this router")
+                    state, entry, Error(f"ERR {spec.name} can't stand in a MULTI of this router")
                 )
-            return self._answer_locally(state, place, name, args)
+            return self._answer_locally(state, entry, name, args)
         try:
             keys = spec.keys(args)
             if not keys:
@@ -402,27 +402,27 @@
             group = self.routes.group(keys)
         except ValueError as error:
             state.transaction_failed = True
-            return self._reply(state, place, Error(f"ERR {spec.name}: keys can't be told: {error}"))
+            return self._reply(state, entry, Error(f"ERR {spec.name}: keys can't be told: {error}"))
         except CrossGroupKeys:
             state.transaction_failed = True
-            return self._reply(state, place, Error("CROSSSLOT Keys in request belong to different groups"))
+            return self._reply(state, entry, Error("CROSSSLOT Keys in request belong to different groups"))
         except UnownedKey as error:
             state.transaction_failed = True
             key = error.args[0][:64].decode("utf-8", "replace")
-            return self._reply(state, place, Error(f"CLUSTERDOWN no group owns the key '{key}'"))
+            return self._reply(state, entry, Error(f"CLUSTERDOWN no group owns the key '{key}'"))
         writes = spec.kind is CommandKind.WRITE
         request_class = self.routes.request_class(name, keys, writes, state.user or "default")
         if state.transaction is not None:
             if any(other_group != group for _, _, _, other_group in state.transaction):
                 state.transaction_failed = True
                 return self._reply(
-                    state, place, Error("CROSSSLOT Keys of one MULTI belong to different groups")
+                    state, entry, Error("CROSSSLOT Keys of one MULTI belong to different groups")
                 )
             state.transaction.append((spec, args, request_class, group))
-            return self._reply(state, place, Simple("QUEUED"))
+            return self._reply(state, entry, Simple("QUEUED"))
         self._submit(
             state,
-            place,
+            entry,
             request_class,
             group,
             SingleCommand(state.proto, state.reader.raw or command(*args), writes),
@@ -431,7 +431,7 @@
     def _submit(
         self,
         state: ClientConnection,
-        place: PipelineEntry,
+        entry: PipelineEntry,
         request_class: RequestClass,
         group: int,
         exchange: SingleCommand | Transaction,
@@ -442,13 +442,13 @@
             queue = state.queues[group] = GroupQueue()
         arrived = self.core.now if self.core.input_sent_at is None else self.core.input_sent_at
         deadline = arrived + self.core.answer_time_limit(request_class)
-        if state.pipeline[0] is place:
+        if state.pipeline[0] is entry:
             state.latest_deadline = deadline
         elif deadline < state.latest_deadline:  # before that of a command ahead of it
-            self.core.call_at(deadline, lambda: self._expire(state, place))
+            self.core.call_at(deadline, lambda: self._expire(state, entry))
         else:
             state.latest_deadline = deadline
-        waiting = WaitingCommand(place, request_class, exchange, arrived)
+        waiting = WaitingCommand(entry, request_class, exchange, arrived)
         self._drop_answered(queue)
         if not queue.waiting and queue.admits(request_class):
             return self._start_request(state, queue, waiting, group)
@@ -460,10 +460,10 @@
 
         Those behind the head are dropped once the queue is longer than two full pipelines, to bound its memory.
         """
-        while queue.waiting and queue.waiting[0].place.answer is not None:
+        while queue.waiting and queue.waiting[0].entry.answer is not None:
             queue.waiting.popleft()
         if len(queue.waiting) > 2 * self.config.limits.pipeline:
-            queue.waiting = deque(waiting for waiting in queue.waiting if waiting.place.answer is None)
+            queue.waiting = deque(waiting for waiting in queue.waiting if waiting.entry.answer is None)
 
     def _start_waiting(self, state: ClientConnection, group: int, queue: GroupQueue) -> None:
         """Starts the waiting commands that may go, after an active one has ended."""
@@ -476,10 +476,10 @@
         self, state: ClientConnection, queue: GroupQueue, waiting: WaitingCommand, group: int
     ) -> None:
         """Counts a command as active and hands its request to the core."""
-        place = waiting.place
+        entry = waiting.entry
         request_class = waiting.request_class
-        place.queue = queue
-        place.request_class = request_class
+        entry.queue = queue
+        entry.request_class = request_class
         if request_class.need is Need.WRITE:
             queue.active_writes += 1
         else:
@@ -497,8 +497,8 @@
             )
         # `submit` may call `done` before it returns the id, so the entry is registered under the next id first
         request_id = self.core.last_request_id + 1
-        place.request = request_id
-        self.entries_by_request[request_id] = state, place
+        entry.request = request_id
+        self.entries_by_request[request_id] = state, entry
         submitted_id = self.core.submit(request)
         assert submitted_id == request_id
 
@@ -522,33 +522,33 @@
         self.named_sessions.move_to_end(key)
         return marks
 
-    def _reply(self, state: ClientConnection, place: PipelineEntry, value: object) -> None:
+    def _reply(self, state: ClientConnection, entry: PipelineEntry, value: object) -> None:
         """Sets the reply of a command that the router answers itself."""
-        place.answer = encode(value, state.proto)
+        entry.answer = encode(value, state.proto)
 
     def _answer_locally(
-        self, state: ClientConnection, place: PipelineEntry, name: bytes, args: list[bytes]
+        self, state: ClientConnection, entry: PipelineEntry, name: bytes, args: list[bytes]
     ) -> None:
         """Runs a command that concerns the connection or the router only."""
         match name:
             case b"PING":
                 if len(args) > 2:
                     return self._reply(
-                        state, place, Error("ERR wrong number of arguments for 'ping' command")
+                        state, entry, Error("ERR wrong number of arguments for 'ping' command")
                     )
-                self._reply(state, place, args[1] if len(args) > 1 else Simple("PONG"))
+                self._reply(state, entry, args[1] if len(args) > 1 else Simple("PONG"))
             case b"ECHO":
-                self._reply(state, place, args[1])
+                self._reply(state, entry, args[1])
             case b"QUIT":
-                self._reply(state, place, OK)
+                self._reply(state, entry, OK)
                 state.closing = True
             case b"SELECT":
-                self._reply(state, place, OK if args[1] == b"0" else Error("ERR DB index is out of range"))
+                self._reply(state, entry, OK if args[1] == b"0" else Error("ERR DB index is out of range"))
             case b"AUTH":
                 user = args[1].decode("utf-8", "replace") if len(args) > 2 else "default"
-                self._reply(state, place, self._login(state, user, args[-1]) or OK)
+                self._reply(state, entry, self._login(state, user, args[-1]) or OK)
             case b"HELLO":
-                self._hello(state, place, args)
+                self._hello(state, entry, args)
             case b"RESET":
                 state.transaction = None
                 state.transaction_failed = False
@@ -557,35 +557,35 @@
                 state.marks = {}
                 state.user = None
                 state.sent_token = False
-                self._reply(state, place, Simple("RESET"))
+                self._reply(state, entry, Simple("RESET"))
             case b"CLIENT":
-                self._client_command(state, place, args)
+                self._client_command(state, entry, args)
             case b"COMMAND":
-                self._command_command(state, place, args)
+                self._command_command(state, entry, args)
             case b"INFO":
-                place.answer = encode(self._info_text(args[1:]), state.proto)
+                entry.answer = encode(self._info_text(args[1:]), state.proto)
             case b"ROLE":
-                self._reply(state, place, ["master", 0, []])
+                self._reply(state, entry, ["master", 0, []])
             case b"WAIT":
-                self._wait_for_replicas(state, place, args)
+                self._wait_for_replicas(state, entry, args)
             case b"MULTI":
                 if state.transaction is not None:
-                    return self._reply(state, place, Error("ERR MULTI calls can not be nested"))
+                    return self._reply(state, entry, Error("ERR MULTI calls can not be nested"))
                 state.transaction = []
                 state.transaction_failed = False
-                self._reply(state, place, OK)
+                self._reply(state, entry, OK)
             case b"DISCARD":
                 transaction = state.transaction
                 state.transaction = None
                 self._reply(
-                    state, place, OK if transaction is not None else Error("ERR DISCARD without MULTI")
+                    state, entry, OK if transaction is not None else Error("ERR DISCARD without MULTI")
                 )
             case b"EXEC":
-                self._exec(state, place)
+                self._exec(state, entry)
             case b"BANKLIFT.TOKEN":
-                place.deferred = lambda: self._token_text(state)
+                entry.deferred = lambda: self._token_text(state)
             case b"BANKLIFT.SEEN":
-                self._restore_marks(state, place, args[1])
+                self._restore_marks(state, entry, args[1])
 
     def _login(self, state: ClientConnection, user: str, password: bytes) -> Error | None:
         """Logs a client in; returns the error if user and password don't match."""
@@ -599,13 +599,13 @@
         state.user = user
         return None
 
-    def _hello(self, state: ClientConnection, place: PipelineEntry, args: list[bytes]) -> None:
+    def _hello(self, state: ClientConnection, entry: PipelineEntry, args: list[bytes]) -> None:
         """HELLO: sets the protocol version, and logs in and names the client if asked to."""
         proto = state.proto
         rest = args[1:]
         if rest:
             if rest[0] not in (b"2", b"3"):
-                return self._reply(state, place, Error("NOPROTO unsupported protocol version"))
+                return self._reply(state, entry, Error("NOPROTO unsupported protocol version"))
             proto = int(rest[0])
             rest = rest[1:]
         name = None
@@ -613,17 +613,17 @@
             option = rest[0].upper()
             if option == b"AUTH" and len(rest) >= 3:
                 if (error := self._login(state, rest[1].decode("utf-8", "replace"), rest[2])) is not None:
-                    return self._reply(state, place, error)
+                    return self._reply(state, entry, error)
                 rest = rest[3:]
             elif option == b"SETNAME" and len(rest) >= 2:
                 name = rest[1]
                 rest = rest[2:]
             else:
-                return self._reply(state, place, Error("ERR Syntax error in HELLO"))
+                return self._reply(state, entry, Error("ERR Syntax error in HELLO"))
         if self.passwords and state.user is None:
             return self._reply(
                 state,
-                place,
+                entry,
                 Error(
                     "NOAUTH HELLO must be called with the client already authenticated, otherwise the "
                     "HELLO <proto> AUTH <user> <pass> option can be used to authenticate the client and select "
@@ -631,11 +631,11 @@
                 ),
             )
         if name is not None and (error := self._set_client_name(state, name)) is not None:
-            return self._reply(state, place, error)
+            return self._reply(state, entry, error)
         state.proto = proto
         self._reply(
             state,
-            place,
+            entry,
             {
                 "server": "banklift",
                 "version": REDIS_VERSION,
@@ -659,48 +659,48 @@
                 self._merge_mark(new_marks, group, seen)
         return None
 
-    def _client_command(self, state: ClientConnection, place: PipelineEntry, args: list[bytes]) -> None:
+    def _client_command(self, state: ClientConnection, entry: PipelineEntry, args: list[bytes]) -> None:
         """CLIENT and its subcommands."""
         subcommand = args[1].upper()
         if subcommand == b"ID":
-            self._reply(state, place, state.id)
+            self._reply(state, entry, state.id)
         elif subcommand == b"GETNAME":
-            self._reply(state, place, state.name or None)
+            self._reply(state, entry, state.name or None)
         elif subcommand == b"SETNAME" and len(args) == 3:
-            self._reply(state, place, self._set_client_name(state, args[2]) or OK)
+            self._reply(state, entry, self._set_client_name(state, args[2]) or OK)
         elif subcommand in (b"SETINFO", b"NO-EVICT", b"NO-TOUCH"):
-            self._reply(state, place, OK)
+            self._reply(state, entry, OK)
         elif subcommand == b"INFO":
             self._reply(
                 state,
-                place,
+                entry,
                 f"id={state.id} name={state.name} resp={state.proto} user={state.user or 'default'}\n",
             )
         else:
             self._reply(
-                state, place, Error(f"ERR unknown subcommand '{args[1][:128].decode('utf-8', 'replace')}'")
+                state, entry, Error(f"ERR unknown subcommand '{args[1][:128].decode('utf-8', 'replace')}'")
             )
 
-    def _command_command(self, state: ClientConnection, place: PipelineEntry, args: list[bytes]) -> None:
+    def _command_command(self, state: ClientConnection, entry: PipelineEntry, args: list[bytes]) -> None:
         """COMMAND and its subcommands: describes the commands that the router supports."""
         subcommand = args[1].upper() if len(args) > 1 else b"INFO"
         supported = {name: spec for name, spec in COMMANDS.items() if spec.kind is not CommandKind.DEDICATED}
         if subcommand == b"COUNT":
-            return self._reply(state, place, len(supported))
+            return self._reply(state, entry, len(supported))
         if subcommand == b"LIST":
-            return self._reply(state, place, [name.lower() for name in supported])
+            return self._reply(state, entry, [name.lower() for name in supported])
         if subcommand == b"GETKEYS" and len(args) > 2:
             spec = find_command(args[2])
             try:
                 keys = spec.keys(args[2:]) if spec is not None else []
             except (ValueError, IndexError):
                 keys = []
-            return self._reply(state, place, keys or Error("ERR The command has no key arguments"))
+            return self._reply(state, entry, keys or Error("ERR The command has no key arguments"))
         if subcommand == b"DOCS":
             names = [name.upper() for name in args[2:]] or list(supported)
             return self._reply(
                 state,
-                place,
+                entry,
                 {
                     name.lower().decode(): {"summary": "carried by banklift"}
                     for name in names
@@ -711,11 +711,11 @@
             names = [name.upper() for name in args[2:]] or list(supported)
             return self._reply(
                 state,
-                place,
+                entry,
                 [_command_info(supported[name]) if name in supported else None for name in names],
             )
         self._reply(
-            state, place, Error(f"ERR unknown subcommand '{args[1][:128].decode('utf-8', 'replace')}'")
+            state, entry, Error(f"ERR unknown subcommand '{args[1][:128].decode('utf-8', 'replace')}'")
         )
 
     def _info_text(self, sections: list[bytes]) -> str:
@@ -730,19 +730,19 @@
         wants_all = wanted & {b"default", b"all", b"everything"}
         return "\r\n".join(text for name, text in parts.items() if wants_all or name in wanted)
 
-    def _exec(self, state: ClientConnection, place: PipelineEntry) -> None:
+    def _exec(self, state: ClientConnection, entry: PipelineEntry) -> None:
         """EXEC: submits the queued commands as one request, of the strictest class among theirs."""
         queued = state.transaction
         state.transaction = None
         if queued is None:
-            return self._reply(state, place, Error("ERR EXEC without MULTI"))
+            return self._reply(state, entry, Error("ERR EXEC without MULTI"))
         if state.transaction_failed:
             state.transaction_failed = False
             return self._reply(
-                state, place, Error("EXECABORT Transaction discarded because of previous errors.")
+                state, entry, Error("EXECABORT Transaction discarded because of previous errors.")
             )
         if not queued:
-            return self._reply(state, place, [])
+            return self._reply(state, entry, [])
         request_class = strictest_class(
             [
                 self.routes.request_class(
@@ -756,7 +756,7 @@
         )
         writes = request_class.need is Need.WRITE
         commands = tuple(command(*args) for _, args, _, _ in queued)
-        self._submit(state, place, request_class, queued[0][3], Transaction(state.proto, commands, writes))
+        self._submit(state, entry, request_class, queued[0][3], Transaction(state.proto, commands, writes))
 
     # ---- marks of sessions
 
@@ -774,7 +774,7 @@
             or "-"
         )
 
-    def _restore_marks(self, state: ClientConnection, place: PipelineEntry, token: bytes) -> None:
+    def _restore_marks(self, state: ClientConnection, entry: PipelineEntry, token: bytes) -> None:
         """BANKLIFT.SEEN: adds the marks of a token, which another router gave, to the session's."""
         marks: dict[int, SessionMark] = {}
         try:
@@ -789,7 +789,7 @@
                 )
                 self._merge_mark(marks, group, seen)
         except ValueError:
-            return self._reply(state, place, Error("ERR not a token of BANKLIFT.TOKEN"))
+            return self._reply(state, entry, Error("ERR not a token of BANKLIFT.TOKEN"))
         state.sent_token = True
         for group, mark in marks.items():
             unknown_histories = [
@@ -803,9 +803,9 @@
         session_marks = self._session_marks(state)
         for group, seen in marks.items():
             self._merge_mark(session_marks, group, seen)
-        self._reply(state, place, OK)
+        self._reply(state, entry, OK)
 
-    def _wait_for_replicas(self, state: ClientConnection, place: PipelineEntry, args: list[bytes]) -> None:
+    def _wait_for_replicas(self, state: ClientConnection, entry: PipelineEntry, args: list[bytes]) -> None:
         """WAIT: replies with how many replicas have the session's writes.
 
         The reply comes once the wanted number has them or the timeout is over. The timeout is in milliseconds; 0 means
@@ -815,9 +815,9 @@
             wanted = int(args[1])
             timeout = int(args[2]) / 1000
         except ValueError:
-            return self._reply(state, place, Error("ERR value is not an integer or out of range"))
+            return self._reply(state, entry, Error("ERR value is not an integer or out of range"))
         if timeout < 0:
-            return self._reply(state, place, Error("ERR timeout is negative"))
+            return self._reply(state, entry, Error("ERR timeout is negative"))
         deadline = self.core.now + timeout if timeout else math.inf
 
         def count_or_poll() -> object:
@@ -839,7 +839,7 @@
             self.core.call_at(min(deadline, self.core.now + WAIT_POLL_SECONDS), lambda: self._flush(state))
             return NOT_READY
 
-        place.deferred = count_or_poll
+        entry.deferred = count_or_poll
 
 
 def _command_info(spec: Command) -> list[object]:
--- a/banklift/rig/capacity_members.py
+++ b/banklift/rig/capacity_members.py
@@ -40,18 +40,18 @@
 
 
 def targets(members: int) -> list[dict[str, object]]:
-    """The entries of a list of so many members, as the catalogue has them. A member's address encodes its place in the
+    """The entries of a list of so many members, as the catalogue has them. A member's address encodes its index in the
     list, with a last number of 1 to 250."""
     return [
         {
-            "uid": f"s-{place:08x}",
-            "endpoint": f"10.{place // 62500}.{place // 250 % 250}.{place % 250 + 1}:6432",
-            "pod_group": place // GROUP_SIZE,
+            "uid": f"s-{index:08x}",
+            "endpoint": f"10.{index // 62500}.{index // 250 % 250}.{index % 250 + 1}:6432",
+            "pod_group": index // GROUP_SIZE,
             "state": "SERVING",
-            "boot_ms": 1_700_000_000_000 + place,
-            "access": "writer" if place % GROUP_SIZE == 0 else "reader",
+            "boot_ms": 1_700_000_000_000 + index,
+            "access": "writer" if index % GROUP_SIZE == 0 else "reader",
         }
-        for place in range(members)
+        for index in range(members)
     ]
 
 
@@ -155,7 +155,7 @@
             self._schedule(REQUEST_SECONDS, ev.LinkData(link, row_answer(self.now, self._is_primary(link))))
 
     def _is_primary(self, link: int) -> bool:
-        """Whether the member at the other end is a primary, by its place in the list (`targets`)."""
+        """Whether the member at the other end is a primary, by its index in the list (`targets`)."""
         host, _, _ = self.links[link].partition(":")
         _, high, middle, low = (int(part) for part in host.split("."))
         return (high * 62500 + middle * 250 + low - 1) % GROUP_SIZE == 0
--- a/banklift/rig/hollow.py
+++ b/banklift/rig/hollow.py
@@ -171,8 +171,8 @@
         os.set_blocking(STDIN_FD, False)
         self.sockets.watch(STDIN_FD, self)
         pause = self.spec.start / len(self.spec.names)
-        for place, name in enumerate(self.spec.names):
-            self._schedule_start(name, place * pause)
+        for index, name in enumerate(self.spec.names):
+            self._schedule_start(name, index * pause)
         self.send(Ready(os.getpid()))
 
     def _schedule_start(self, name: str, seconds: float) -> None:
--- a/banklift/rig/hollow_fleet.py
+++ b/banklift/rig/hollow_fleet.py
@@ -134,8 +134,8 @@
         zone = self.zone(number)
         candidates = [
             Candidate(aggregator, f"machine of {aggregator}")
-            for place, aggregator in enumerate(self.aggregators)
-            if self.zone(place) == zone
+            for index, aggregator in enumerate(self.aggregators)
+            if self.zone(index) == zone
         ]
         return choose_aggregators(name, candidates)
 
--- a/banklift/rig/processes.py
+++ b/banklift/rig/processes.py
@@ -102,11 +102,11 @@
         address = f"127.0.0.1:{self.ports[target]}"
         self.relays[source, target] = Relay(self.env, lambda: address, self.seed * 1000 + len(self.relays))
 
-    def _tap(self, now: float, member: str, act: MemberAction) -> None:
+    def _tap(self, now: float, member: str, action: MemberAction) -> None:
         """Trace the GETs that members run."""
-        if act.kind == "command" and len(act.args) == 2 and act.args[0].upper() == b"GET":
+        if action.kind == "command" and len(action.args) == 2 and action.args[0].upper() == b"GET":
             self.trace.add(
-                Entry(now, "ran", act.args[1].decode("latin-1"), member=member, role=self.roles[member])
+                Entry(now, "ran", action.args[1].decode("latin-1"), member=member, role=self.roles[member])
             )
 
     def record(self, kind: str, **fields: Any) -> None:
--- a/banklift/rig/relay.py
+++ b/banklift/rig/relay.py
@@ -61,8 +61,8 @@
         if faults.flip:
             faults.flip -= 1
             relay.count("flip")
-            place = relay.random.randrange(len(data))
-            data = data[:place] + bytes([data[place] ^ 1 << relay.random.randrange(8)]) + data[place + 1 :]
+            index = relay.random.randrange(len(data))
+            data = data[:index] + bytes([data[index] ^ 1 << relay.random.randrange(8)]) + data[index + 1 :]
         if faults.cut:
             faults.cut -= 1
             relay.count("cut")
--- a/banklift/rig/site.py
+++ b/banklift/rig/site.py
@@ -51,8 +51,8 @@
 def config(time_factor: float = 1.0, replicas: int = 2) -> dict[str, Any]:
     """A router's configuration with policy variant 0, as its file has it; the members' addresses have no ports yet."""
     members = [
-        {"name": f"m{place}", "address": "127.0.0.1:0", "primary": place == 0}
-        for place in range(replicas + 1)
+        {"name": f"m{index}", "address": "127.0.0.1:0", "primary": index == 0}
+        for index in range(replicas + 1)
     ]
     return {
         "groups": [{"name": "only", "slots": [[0, 16383]], "members": members}],
--- a/banklift/rig/world.py
+++ b/banklift/rig/world.py
@@ -125,7 +125,7 @@
         self.sub_lease = SUB_LEASE_FRACTION * lease if sub_lease is None else sub_lease
         self.names = [f"r{number}" for number in range(routers)]
         self.voters = tuple(self.names[:voters])
-        self.ports = {name: f"10.0.0.1:{7000 + place}" for place, name in enumerate(self.voters)}
+        self.ports = {name: f"10.0.0.1:{7000 + index}" for index, name in enumerate(self.voters)}
         self.judge = WorldJudge(self.voters)
         self.routers = {name: Router(name, name, self._random_rate()) for name in self.names}
         self.aggregators: dict[str, Aggregator] = {}
@@ -141,8 +141,8 @@
                     self._add_relay(name, voter)
         for number in range(aggregators):
             self.add_aggregator(f"a{number}", zone=number % zones)
-        for place, name in enumerate(self.names[voters + direct :] if aggregators else []):
-            self.join_zone(name, place % zones)
+        for index, name in enumerate(self.names[voters + direct :] if aggregators else []):
+            self.join_zone(name, index % zones)
 
     def _random_rate(self) -> float:
         return self.random.uniform(1 - self.drift / 2, 1 + self.drift / 2)
--- a/benchmarks/pg_machine.py
+++ b/benchmarks/pg_machine.py
@@ -72,9 +72,9 @@
         self.served = 0
         self.processor_s = 0.0  # real time spent in the state machine
         members = tuple(
-            ev.ListedMember(f"s{group}{place}", group, f"s{group}{place}:1", State.READY, place == 0)
+            ev.ListedMember(f"s{group}{index}", group, f"s{group}{index}:1", State.READY, index == 0)
             for group in range(3)
-            for place in range(3)
+            for index in range(3)
         )
         self.handle(ev.Roster(members))
 
--- a/benchmarks/service.py
+++ b/benchmarks/service.py
@@ -182,9 +182,9 @@
         catalogue = Catalogue(env).start()
         for group in range(3):
             store: dict[bytes, bytes] = {}
-            for place in range(3):
-                member = PgMember(env, primary=place == 0, answer_delay_seconds=0.03, store=store).start()
-                catalogue.update(f"s{group}{place}", member.address, group, writes=place == 0)
+            for index in range(3):
+                member = PgMember(env, primary=index == 0, answer_delay_seconds=0.03, store=store).start()
+                catalogue.update(f"s{group}{index}", member.address, group, writes=index == 0)
         with tempfile.TemporaryDirectory() as folder:
             listen = "127.0.0.1:47411"
             config = {
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -119,7 +119,7 @@
 class BlocksBehindLateAnswers(RespFront):
     """Lets an overdue request delay the answers to the requests behind it on its connection."""
 
-    def _expire(self, state: ClientConnection, place: PipelineEntry) -> None:
+    def _expire(self, state: ClientConnection, entry: PipelineEntry) -> None:
         return
 
 
@@ -350,15 +350,15 @@
     """Shifts the answers of a batch by one where all of them are ready and hold values."""
 
     def _flush(self, state: ClientConnection) -> None:
-        line = list(state.pipeline)
+        pipeline = list(state.pipeline)
         if (
-            len(line) > 1
-            and all(place.answer is not None and place.request is not None for place in line)
-            and all(str(place.answer)[2] in "$*" for place in line)
+            len(pipeline) > 1
+            and all(entry.answer is not None and entry.request is not None for entry in pipeline)
+            and all(str(entry.answer)[2] in "$*" for entry in pipeline)
         ):
-            answers = [place.answer for place in line]
-            for place, answer in zip(line, answers[-1:] + answers[:-1], strict=True):
-                place.answer = answer
+            answers = [entry.answer for entry in pipeline]
+            for entry, answer in zip(pipeline, answers[-1:] + answers[:-1], strict=True):
+                entry.answer = answer
         super()._flush(state)
 
 
--- a/tests/test_aggregator_world.py
+++ b/tests/test_aggregator_world.py
@@ -522,7 +522,7 @@
 # ---- all faults together
 
 
-@pytest.mark.parametrize("seeds", [range(place, place + 6) for place in range(0, SEEDS_IN_CI, 6)])
+@pytest.mark.parametrize("seeds", [range(start, start + 6) for start in range(0, SEEDS_IN_CI, 6)])
 def test_random_faults_of_all_kinds(seeds: range) -> None:
     """To run more seeds: `python -m banklift.rig.seeds --from 0 --count 200`."""
     reports = [play(seed, aggregated=True) for seed in seeds]
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -262,13 +262,13 @@
     assert action_types.index(LeaseEndChanged) < action_types.index(Write)
 
 
-@pytest.mark.parametrize("place", [0, 2, 3, 5, 9, 40])
-def test_a_corrupted_frame_ends_the_link(place: int) -> None:
+@pytest.mark.parametrize("index", [0, 2, 3, 5, 9, 40])
+def test_a_corrupted_frame_ends_the_link(index: int) -> None:
     driver = router()
     grant_from_preferred(driver)
     driver.wake()
     frame = bytearray(encode(grant(driver.requests("a0")[-1].number, ttl=1.0)))
-    frame[place] ^= 1 << 3
+    frame[index] ^= 1 << 3
     driver.carry_out(driver.member.data(driver.now, driver.links["a0"], bytes(frame) + bytes(2**16)))
     assert driver.closed_links == [driver.links["a0"]]
     assert all(
--- a/tests/test_fleet_world.py
+++ b/tests/test_fleet_world.py
@@ -213,7 +213,7 @@
         assert fleet.violations == [], step
 
 
-@pytest.mark.parametrize("seeds", [range(place, place + 10) for place in range(0, 40, 10)])
+@pytest.mark.parametrize("seeds", [range(start, start + 10) for start in range(0, 40, 10)])
 def test_random_faults_of_all_kinds(seeds: range) -> None:
     """To run more seeds: `python -m banklift.rig.seeds --direct --from 0 --count 200`."""
     reports = [play(seed, aggregated=False) for seed in seeds]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -14,7 +14,9 @@
 
 def sent(actions: list[MemberAction], conn: int) -> bytes:
     """The bytes that the actions send on connection `conn`."""
-    return b"".join(act.data for act in actions if act.kind == "send" and act.connection_id == conn)
+    return b"".join(
+        action.data for action in actions if action.kind == "send" and action.connection_id == conn
+    )
 
 
 class Pair:
@@ -170,8 +172,8 @@
     pair.primary.connection_opened(1.0, 8, "c")
     pair.primary.data_received(1.0, 8, transaction(("APPEND", "a", "x"), ("APPEND", "b", "x")))
     actions = pair.primary.run_timers(1.0)
-    ran = [act for act in actions if act.kind == "ran"]
-    assert [len(act.log) for act in ran] == [2] and ran[0].offset == pair.primary.offset
+    ran = [action for action in actions if action.kind == "ran"]
+    assert [len(action.log) for action in ran] == [2] and ran[0].offset == pair.primary.offset
     to_replica = sent(actions, pair.conn)
     for start in range(0, len(to_replica), size):
         pair.replica.data_received(1.0, UPSTREAM_ID, to_replica[start : start + size])
@@ -187,7 +189,9 @@
     assert pair.replica.store.apply([b"GET", b"a"], 1.5) is None and b"a" in pair.replica.data
     pair.now = 2.0
     actions = pair.write("APPEND", "a", "2")
-    assert [act.log for act in actions if act.kind == "ran"] == [((b"DEL", b"a"), (b"APPEND", b"a", b"2"))]
+    assert [action.log for action in actions if action.kind == "ran"] == [
+        ((b"DEL", b"a"), (b"APPEND", b"a", b"2"))
+    ]
     pair.stream(actions)
     assert pair.replica.data == pair.primary.data == {b"a": b"2"}
     assert pair.replica.offset == pair.primary.offset
@@ -214,8 +218,8 @@
     pair.stream(pair.write("SET", "a", "1"))
     pair.stream(pair.write("SET", "b", "2"))
     assert pair.replica.data == {}
-    histories = [act for act in pair.replica.promote(1.5) if act.kind == "line"]
-    assert [(act.offset, act.parent_offset_received) for act in histories] == [
+    histories = [action for action in pair.replica.promote(1.5) if action.kind == "line"]
+    assert [(action.offset, action.parent_offset_received) for action in histories] == [
         (pair.primary.offset, pair.primary.offset)
     ]
     assert pair.replica.data == {b"a": b"1", b"b": b"2"}
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -690,8 +690,8 @@
     for turn in range(3000):
         text = bytearray((site.write() if turn % 2 else site.read()).encode())
         for _ in range(rng.randrange(4)):
-            place = rng.randrange(len(text))
-            text[place : place + rng.randrange(3)] = rng.randbytes(rng.randrange(3))
+            index = rng.randrange(len(text))
+            text[index : index + rng.randrange(3)] = rng.randbytes(rng.randrange(3))
         try:
             statement = parse(bytes(text))
         except BadStatement:
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -184,19 +184,19 @@
     rig = Rig()
     front: RespFront = rig.machine.front  # type: ignore[assignment]
     state = front.clients[1]
-    places = [PipelineEntry(request=number) for number in range(901, 907)]
-    state.pipeline.extend(places)
+    entries = [PipelineEntry(request=number) for number in range(901, 907)]
+    state.pipeline.extend(entries)
 
     def abandon(request: int) -> None:
-        for place in places:
-            if place.request == request + 1:
-                place.answer = b"+next\r\n"
+        for entry in entries:
+            if entry.request == request + 1:
+                entry.answer = b"+next\r\n"
         front._flush(state)
 
     rig.machine.abandon = abandon  # type: ignore[method-assign]
     rig.machine.actions = []
-    front._expire(state, places[-1])
-    assert not state.pipeline and all(place.answer is not None for place in places)
+    front._expire(state, entries[-1])
+    assert not state.pipeline and all(entry.answer is not None for entry in entries)
 
 
 def test_wait_may_delay_the_requests_behind_it() -> None:
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -23,10 +23,10 @@
 
 
 def with_service(
-    place: int, allowed: dict[str, Any] | None = None, balancers: int = 1, **more: object
+    index: int, allowed: dict[str, Any] | None = None, balancers: int = 1, **more: object
 ) -> dict[str, Any]:
     services = [dict(service) for service in SETTINGS["services"]]
-    services[place].update(more)
+    services[index].update(more)
     return {
         **SETTINGS,
         "services": services,
@@ -274,7 +274,7 @@
         site.world.connect_delays[member.address] = 0.2
     site.run(0.005)
     before = sum(len(member.statements) for member in site.members.values())
-    caller.send(b"".join(frames.query(site.write(f"k{place}").encode()) for place in range(40)), 0.01)
+    caller.send(b"".join(frames.query(site.write(f"k{index}").encode()) for index in range(40)), 0.01)
     (state,) = site.front.clients.values()
     assert state.paused and len(site.machine.pending) == 16
     caller.handle.close()
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -55,10 +55,10 @@
 def test_any_flipped_bit_is_detected() -> None:
     whole = pack(7, b"promised")
     assert unpack(whole) == (7, b"promised")
-    for place in range(len(whole)):
+    for index in range(len(whole)):
         for bit in range(8):
             damaged = bytearray(whole)
-            damaged[place] ^= 1 << bit
+            damaged[index] ^= 1 << bit
             assert unpack(bytes(damaged)) is None
 
 
--- a/tools/two_builds.py
+++ b/tools/two_builds.py
@@ -171,13 +171,13 @@
                 1,
                 name,
                 self.random.choice((None, self.random.uniform(1.0, 200.0))),
-                place // 3,
+                index // 3,
                 self.random.choice(states),
                 "std",
-                int(place % 3 == 0),
+                int(index % 3 == 0),
                 "z",
             ]
-            for place, name in enumerate(self.names)
+            for index, name in enumerate(self.names)
         ]
 
     def usage(self, now: float, member: str) -> dict[str, Any]:
@@ -455,10 +455,10 @@
         async with anyio.create_task_group() as tasks, anyio.from_thread.BlockingPortal() as self.portal:
             env = SocketEnv(tasks, time.time)
             store: dict[bytes, bytes] = {}
-            members = [PgMember(env, primary=place == 0, store=store).start() for place in range(3)]
+            members = [PgMember(env, primary=index == 0, store=store).start() for index in range(3)]
             self.catalogue = Catalogue(env).start()
-            for place, member in enumerate(members):
-                self.catalogue.update(f"s{place}", member.address, writes=member.primary)
+            for index, member in enumerate(members):
+                self.catalogue.update(f"s{index}", member.address, writes=member.primary)
             self.ready.set()
             await self.stopping.wait()
             tasks.cancel_scope.cancel()
