--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -159,7 +159,7 @@
 
 
 @pytest.mark.parametrize("kind", ["save", "any"])
-def test_a_node_that_closes_an_idle_link_as_a_request_is_written_may_have_run_it(kind: str) -> None:
+def test_a_member_that_closes_an_idle_link_as_a_request_is_written_may_have_run_it(kind: str) -> None:
     site = Site()
     caller = SiteClient(site)
     assert value(caller.query(site.write("k", "01")))
