--- a/banklift/net/sockets.py
+++ b/banklift/net/sockets.py
@@ -427,6 +427,12 @@
             tasks.start_soon(self._run_timers)
 
     async def _serve(self) -> None:
+        """Serve all sockets in batches, while `_run_timers` runs in a task of its own.
+
+        A return to the event loop is costly, so the epoll object is polled for more events first, for at most
+        `TIME_SLICE_SECONDS`: other tasks must get their turn too. Timers that fall due meanwhile are run here, as
+        `_run_timers` would have to wait for the end of the slice.
+        """
         try:
             while True:
                 await anyio.wait_readable(self.epoll)
@@ -447,6 +453,12 @@
             self._close()
 
     async def _serve_in_one_task(self) -> None:
+        """Serve all sockets and timers until `stop`, with `exclusive_loop`.
+
+        Nothing else needs the event loop, so the task blocks in the epoll object until the next event or timer, which
+        takes fewer system calls than a wait in the event loop. It yields every `EVENT_LOOP_INTERVAL_SECONDS`, so that
+        signals and cancellation are handled.
+        """
         timers, end = self._timers, 0.0
         try:
             while not self.stopping:
@@ -483,6 +495,7 @@
                     self._flush(True)
 
     def _close(self) -> None:
+        """Close all listeners, then all connections and the epoll object, when the serving task ends."""
         for listener in [one for one in self.by_fd.values() if isinstance(one, SocketListener)]:
             listener.close()
         for handle in list(self.handles):
@@ -540,6 +553,11 @@
             self._earlier_timer_added.set()
 
     def _run_due_timers(self, now: float) -> None:
+        """Call every timer that is due at `now`, in order, then flush.
+
+        What the timers send is written once at the end, or earlier if more than `HIGH_WATER_BYTES` are queued. So
+        `queue_flush` need not add a timer for it.
+        """
         timers, self._flush_scheduled = self._timers, True
         while timers and timers[0][0] <= now:
             heapq.heappop(timers)[2]()
@@ -548,6 +566,11 @@
         self._flush()
 
     async def _run_timers(self) -> None:
+        """Run due timers, then sleep until the next one or until `at` adds an earlier one.
+
+        `_sleeping_until` is minus infinity while the task is awake, so that `at` sets the event only if it must wake
+        the task. The sleep lasts `TIMER_RESOLUTION_SECONDS` at least, so that timers close together share one wake-up.
+        """
         timers = self._timers
         while True:
             self._run_due_timers(self.now())
