--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -16,17 +16,17 @@
 from banklift.net.service import ConfigurationError, Service, StartConfig, parse
 from banklift.net.sockets import SocketEnv
 from banklift.pg import frames
-from banklift.proxy.machine import LATE_CONNECT_GRACE
+from banklift.proxy.machine import LATE_CONNECT_GRACE_SECONDS
 from tests.platform_site import SETTINGS, Site, SiteClient, code, value
 
 NO_PROBES: dict[str, Any] = {**SETTINGS, "allowed": {**SETTINGS["allowed"], "probing": False}}
 
 
 def with_service(
-    place: int, allowed: dict[str, Any] | None = None, balancers: int = 1, **more: object
+    index: int, allowed: dict[str, Any] | None = None, balancers: int = 1, **more: object
 ) -> dict[str, Any]:
     services = [dict(service) for service in SETTINGS["services"]]
-    services[place].update(more)
+    services[index].update(more)
     return {
         **SETTINGS,
         "services": services,
@@ -149,7 +149,7 @@
     caller.send(frames.query(site.write("k", "02").encode()), 0.1)
     opening = [link for link in site.machine.links.values() if not link.up]
     assert opening
-    site.run(2.0 + site.start.connect_timeout + LATE_CONNECT_GRACE)
+    site.run(2.0 + site.start.connect_timeout + LATE_CONNECT_GRACE_SECONDS)
     assert not any(link.id in site.machine.links for link in opening)
     assert not site.machine.members["p"].connecting and not site.machine.awaiting_link
     site.world.connect_delays.clear()
@@ -159,7 +159,7 @@
 
 
 @pytest.mark.parametrize("kind", ["save", "any"])
-def test_a_node_that_closes_an_idle_link_as_a_request_is_written_may_have_run_it(kind: str) -> None:
+def test_a_member_that_closes_an_idle_link_as_a_request_is_written_may_have_run_it(kind: str) -> None:
     site = Site()
     caller = SiteClient(site)
     assert value(caller.query(site.write("k", "01")))
@@ -274,7 +274,7 @@
         site.world.connect_delays[member.address] = 0.2
     site.run(0.005)
     before = sum(len(member.statements) for member in site.members.values())
-    caller.send(b"".join(frames.query(site.write(f"k{place}").encode()) for place in range(40)), 0.01)
+    caller.send(b"".join(frames.query(site.write(f"k{index}").encode()) for index in range(40)), 0.01)
     (state,) = site.front.clients.values()
     assert state.paused and len(site.machine.pending) == 16
     caller.handle.close()
