--- a/banklift/balance.py
+++ b/banklift/balance.py
@@ -327,7 +327,7 @@
             self.retry_held_requests(member.group, MAX_MISSES_PER_EVENT, member)
 
     def apply_report(self, member: Member, report: interface.Report, asked_at: float) -> None:
-        """Record a member's load, position and role; `asked_at` is when the question or the request was sent."""
+        """Record a member's load, position and role; `asked_at` is when the probe or the request was sent."""
         loads = [load for load in (report.in_flight, report.queued) if load is not None]
         member.load = sum(loads if self.is_large_fleet else loads[:1]) if loads else member.load
         if loads and self.expected_latency(member) <= LATENCY_TARGET_AIM_SHARE * self.shortest_aim:
