--- a/banklift/balance.py
+++ b/banklift/balance.py
@@ -35,7 +35,7 @@
 # Overdue answers from which a silent member counts as unresponsive; a false alarm about once in e^6.
 MAX_OVERDUE_ANSWERS = 6.0
 # Times the shortest aim: how long a failed member is avoided, and how long successes and measured pace are
-# remembered.
+# remembered. Avoiding a member costs little, as failures of healthy members are rare.
 FAILURE_MEMORY_SHORTEST_AIMS = 4.0
 # Recent successful answers (older ones decay) from which a single failure is ignored.
 SUCCESSES_TO_IGNORE_FAILURE = 8.0
